--- a/bench/backlog.py
+++ b/bench/backlog.py
@@ -52,7 +52,7 @@
     for number, body in enumerate(bodies):
         key = f"s/job/run-{number:06d}"
         value = owner.parse(key, msgspec.json.decode(body))
-        owner.apply(Event(key, value, number + 1))
+        owner.apply_event(Event(key, value, number + 1))
     gc.collect()
     grown = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/bench/restart.py
+++ b/bench/restart.py
@@ -30,13 +30,13 @@
     begun, starts = w.now, len(w.starts)
 
     def known(name: str, share: float) -> bool:
-        machines = w.owners[name].by_shard.get(name, {}).values()
-        return bool(machines) and sum(m.known for m in machines) >= share * len(machines)
+        machines = w.owners[name].machines_by_shard.get(name, {}).values()
+        return bool(machines) and sum(m.tasks_known for m in machines) >= share * len(machines)
 
     phases: dict[str, Callable[[str], bool]] = {
         "loaded": lambda n: w.owners[n].mirror.loaded,
-        "term": lambda n: n in w.owners[n].held,
-        "ready": lambda n: w.owners[n].requests.ready(),
+        "term": lambda n: n in w.owners[n].held_shards,
+        "ready": lambda n: w.owners[n].router.ready(),
         "half of its machines back": lambda n: known(n, 0.5),
         "nine in ten back": lambda n: known(n, 0.9),
         "all back": lambda n: known(n, 1.0),
--- a/bench/size.py
+++ b/bench/size.py
@@ -96,11 +96,11 @@
     for number in range(machines):
         stamp += 1
         record = MachineRecord("small", "a", False, f"n{number % 3}", "10.9.0.1:9", 0.0)
-        owner.apply(Event(f"s/machine/vm-{number:06d}", record, stamp))
+        owner.apply_event(Event(f"s/machine/vm-{number:06d}", record, stamp))
     for number in range(machines * TASKS // ARRAY + waiting):
         stamp += 1
         spec = msgspec.convert(job(number, outfit="guests", hands=ARRAY), Job)
-        owner.apply(Event(f"s/job/{spec.id}", JobRecord(spec, 0.0), stamp))
+        owner.apply_event(Event(f"s/job/{spec.id}", JobRecord(spec, 0.0), stamp))
     gc.collect()
     grown = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
--- a/models/limits.py
+++ b/models/limits.py
@@ -16,7 +16,7 @@
 from typing import NamedTuple
 
 from sagecove.coordination.limits.account import Account
-from sagecove.coordination.limits.records import ZERO, Amount, Row, Settlement
+from sagecove.coordination.limits.records import ZERO, LimitSplit, ResourceAmount, ShardTransfers
 
 
 class Mistake(enum.Enum):
@@ -80,13 +80,13 @@
     """An invariant does not hold."""
 
 
-def _amount(units: int) -> Amount:
+def _amount(units: int) -> ResourceAmount:
     return units, 0
 
 
-def _settlement(value: tuple[object, ...]) -> Settlement:
+def _settlement(value: tuple[object, ...]) -> LimitSplit:
     limit, shards, before, earlier = value
-    return Settlement(
+    return LimitSplit(
         _amount(limit),  # type: ignore[arg-type]
         {name: _amount(n) for name, n in shards},  # type: ignore[attr-defined]
         before,  # type: ignore[arg-type]
@@ -94,16 +94,16 @@
     )
 
 
-def _row(value: tuple[object, ...]) -> Row:
+def _row(value: tuple[object, ...]) -> ShardTransfers:
     epoch, given, hold = value
-    return Row(
+    return ShardTransfers(
         epoch,  # type: ignore[arg-type]
         {name: _amount(n) for name, n in given},  # type: ignore[attr-defined]
         None if hold is None else _amount(hold),  # type: ignore[arg-type]
     )
 
 
-def _packed(row: Row) -> tuple[object, ...]:
+def _packed(row: ShardTransfers) -> tuple[object, ...]:
     given = tuple(sorted((name, amount[0]) for name, amount in row.given.items()))
     return row.epoch, given, None if row.hold is None else row.hold[0]
 
@@ -277,7 +277,7 @@
         others = [other.limit for other in state.nodes if other.up]
         return min([node.limit, *others])
 
-    def _send(self, state: State, n: int, shard: int, term: int, row: Row) -> State:
+    def _send(self, state: State, n: int, shard: int, term: int, row: ShardTransfers) -> State:
         node = state.nodes[n]
         key = f"r{shard}"
         known = {k: at for at, k, _ in self.view(state, node.seen)}
--- a/sagecove/coordination/backlog.py
+++ b/sagecove/coordination/backlog.py
@@ -10,8 +10,8 @@
 
 from collections.abc import Iterator
 
+from sagecove.coordination.interfaces import BacklogContext
 from sagecove.coordination.model import JobRun, precedence
-from sagecove.coordination.ports import Ranked
 
 Key = tuple[object, ...]
 
@@ -28,15 +28,15 @@
     """Nothing is to be done for a job but to claim some of its tasks."""
     return bool(
         job.array
-        and not job.whole
+        and not job.claimed_whole
         and not job.claims
         and not job.placed
-        and not job.fresh
-        and not job.stuck_at
+        and not job.finished_unrecorded
+        and not job.unplaceable_since
         and not job.reserved
         and not job.committing
         and job.claiming is None
-        and not job.blamed
+        and not job.judged_faulty
         and job.unclaimed
     )
 
@@ -46,9 +46,9 @@
     spec = job.spec
     types = tuple(spec.types) if spec.types is not None else None
     return (
-        *(spec.team, job.priority, job.within),
+        *(spec.team, job.priority, job.within_guarantee),
         *(types, spec.zone, spec.spot, spec.cpus, spec.gpus, spec.memory_gb),
-        job.home is None,
+        job.durable_state is None,
     )
 
 
@@ -63,7 +63,7 @@
         self.ordered_at = -1e9
         self.came: list[JobRun] = []
 
-    def any(self) -> JobRun:
+    def any_job(self) -> JobRun:
         """One of them."""
         return next(iter(self.jobs.values()))
 
@@ -76,63 +76,71 @@
 class Backlog:
     """Active jobs, and groups of resting ones."""
 
-    def __init__(self, owner: Ranked) -> None:
+    def __init__(self, owner: BacklogContext) -> None:
         self.owner = owner
         self.active: dict[str, JobRun] = {}
         # Active jobs that something has happened to, or is to be done for: passes look at these.
-        self.open: dict[str, JobRun] = {}
+        self.dirty_jobs: dict[str, JobRun] = {}
         self.groups: dict[Key, Group] = {}
-        self.resting = 0
+        self.resting_count = 0
 
-    def settle(self, job: JobRun) -> None:
+    def reclassify(self, job: JobRun) -> None:
         """A job has come, or something about it has changed."""
         key = alike(job) if resting(job) else None
-        if key is not None and key == job.alike:
+        if key is not None and key == job.group_key:
             return
         self.remove(job)
         if key is None:
             self.active[job.id] = job
-            self.open[job.id] = job
+            self.dirty_jobs[job.id] = job
         else:
             group = self.groups.get(key)
             if group is None:
                 group = self.groups[key] = Group(key)
-            job.alike = group.key
+            job.group_key = group.key
             group.add(job)
-            self.resting += 1
+            self.resting_count += 1
 
     def remove(self, job: JobRun) -> None:
         """A job has gone, or is to be sorted anew."""
         self.active.pop(job.id, None)
-        self.open.pop(job.id, None)
-        if job.alike is not None:
-            group = self.groups.get(job.alike)
+        self.dirty_jobs.pop(job.id, None)
+        if job.group_key is not None:
+            group = self.groups.get(job.group_key)
             if group is not None and group.jobs.pop(job.id, None) is not None:
-                self.resting -= 1
+                self.resting_count -= 1
                 if not group.jobs:
-                    del self.groups[job.alike]
-            job.alike = None
+                    del self.groups[job.group_key]
+            job.group_key = None
 
-    def settle_open(self) -> None:
+    def reclassify_dirty(self) -> None:
         """Active jobs may have come to rest without anybody saying so."""
-        for job in [j for j in self.open.values() if resting(j)]:
-            self.settle(job)
+        for job in [j for j in self.dirty_jobs.values() if resting(j)]:
+            self.reclassify(job)
 
-    def stir(self, job: JobRun) -> None:
+    def mark_dirty(self, job: JobRun) -> None:
         """Something has happened to a job: the next pass looks at it."""
         if job.id in self.active:
-            self.open[job.id] = job
+            self.dirty_jobs[job.id] = job
 
     @staticmethod
     def through(job: JobRun, held: list[str]) -> bool:
         """Nothing is to be done for an active job until something happens to it: all of it that is
         this controller's is on machines and meant to be. Most active jobs are; no pass looks at
         them again before they are stirred."""
-        if job.withheld or job.unclaimed or job.reserved or job.stuck_at or job.fresh:
+        if (
+            job.cancelled_elsewhere
+            or job.unclaimed
+            or job.reserved
+            or job.unplaceable_since
+            or job.finished_unrecorded
+        ):
             return False
-        if job.committing or job.releasing or job.limbo or job.claiming is not None:
+        if job.committing or job.releasing or job.possibly_running or job.claiming is not None:
             return False
-        if job.gang and (job.failing or any(p.halt is not None for p in job.placed.values())):
+        if job.gang and (
+            job.gang_stopping or any(p.stop_grace_s is not None for p in job.placed.values())
+        ):
             return False
         return not any(job.placeable(shard) for shard in held)
 
@@ -141,13 +149,13 @@
         at the moment."""
         owner = self.owner
         size = len(group.jobs)
-        homed = group.any().home is not None
+        homed = group.any_job().durable_state is not None
         if now - group.ordered_at > (
             HOMED_S if homed else 0.0 if size <= SMALL else size * ORDER_S
         ):
             group.ordered_at = now
             group.came = []
-            group.ordered = self.sorted(list(group.jobs.values()))
+            group.ordered = self.sort_by_precedence(list(group.jobs.values()))
             ranked = group.ordered
         elif homed:
             # They become jobs in their own order.
@@ -156,7 +164,7 @@
             ranked = group.ordered
         elif group.came:
             # Behind at most one of the first: enough, as the sorting comes soon.
-            ranked = self.sorted([*group.ordered[: 4 * most], *group.came])
+            ranked = self.sort_by_precedence([*group.ordered[: 4 * most], *group.came])
         else:
             ranked = group.ordered
         found = 0
@@ -165,7 +173,7 @@
                 job.id not in group.jobs
                 or now < job.claim_after
                 or now < job.hold_until
-                or owner.failures.suspect(job)
+                or owner.failures.fails_everywhere(job)
             ):
                 continue
             yield job
@@ -173,9 +181,9 @@
             if found == most:
                 return
 
-    def sorted(self, jobs: list[JobRun]) -> list[JobRun]:
+    def sort_by_precedence(self, jobs: list[JobRun]) -> list[JobRun]:
         """Arrays in the order of claims."""
         for job in jobs:
-            self.owner.learning.rank(job)
+            self.owner.estimates.update_rank(job)
         jobs.sort(key=precedence)
         return jobs
--- a/sagecove/coordination/cancels.py
+++ b/sagecove/coordination/cancellations.py
@@ -28,7 +28,7 @@
     mirror: Mirror
 
 
-class Cancels:
+class Cancellations:
     """`halt(placement, grace, why)` stops a task."""
 
     def __init__(self, owner: Live, halt: Callable[[Placement, float, str], None]) -> None:
@@ -38,36 +38,36 @@
         # the order in which this controller learned of them; and the highest of those that are not
         # among them: of an earlier process (what was there when the mirror was loaded), of points
         # of sweeps, or dropped.
-        self.told: dict[str, int] = {}
+        self.confirmed: dict[str, int] = {}
         self.floor = 0
         # Jobs that peers say are cancelled, and when they did; see `stop`.
         self.withheld: dict[str, float] = {}
 
     # -- who has told ---------------------------------------------------------------------------
 
-    def tell(self, job_id: str, revision: int) -> None:
+    def record_confirmed(self, job_id: str, revision: int) -> None:
         """A cancellation is durable, and a user may be told of it, however it was learned of: with
         the answer to this controller's own transaction or by reading what became of another's, one
         without an answer included."""
-        if job_id in self.told:
+        if job_id in self.confirmed:
             return
-        self.told[job_id] = revision
-        if len(self.told) > KEPT:
-            oldest = next(iter(self.told))
-            self.unnamed(self.told.pop(oldest))
+        self.confirmed[job_id] = revision
+        if len(self.confirmed) > KEPT:
+            oldest = next(iter(self.confirmed))
+            self.raise_floor(self.confirmed.pop(oldest))
 
-    def unnamed(self, revision: int) -> None:
+    def raise_floor(self, revision: int) -> None:
         """What was cancelled up to a revision is not named: only who has read it knows of it."""
         self.floor = max(self.floor, revision)
 
     @property
     def last(self) -> int:
         """By this revision all that was told here was durable."""
-        return max(self.floor, max(self.told.values(), default=0))
+        return max(self.floor, max(self.confirmed.values(), default=0))
 
     def since(self, applied: int) -> list[str]:
         """What is named that somebody who has read up to a revision may not know."""
-        return [job_id for job_id, revision in self.told.items() if revision > applied]
+        return [job_id for job_id, revision in self.confirmed.items() if revision > applied]
 
     # -- who is told ----------------------------------------------------------------------------
 
@@ -78,11 +78,11 @@
         service answers, which has the last word."""
         for job_id in job_ids:
             job = self.owner.jobs.get(job_id)
-            if job is None or job.home is not None:
+            if job is None or job.durable_state is not None:
                 continue
-            if not job.withheld:
+            if not job.cancelled_elsewhere:
                 log.info("cancelled elsewhere job=%s tasks=%d", job_id, len(job.placed))
-            job.withheld = True
+            job.cancelled_elsewhere = True
             self.withheld[job_id] = self.owner.now
             for placement in list(job.placed.values()):
                 self.halt(placement, 0.0, "cancelled elsewhere")
@@ -95,6 +95,6 @@
                 continue
             del self.withheld[job_id]
             job = self.owner.jobs.get(job_id)
-            if job is not None and job.withheld:
+            if job is not None and job.cancelled_elsewhere:
                 log.warning("not cancelled after all job=%s", job_id)
-                job.withheld = False
+                job.cancelled_elsewhere = False
--- a/sagecove/coordination/claims/candidates.py
+++ b/sagecove/coordination/claims/candidates.py
@@ -5,8 +5,14 @@
 from typing import NamedTuple
 
 from sagecove.coordination.model import JobRun, Machine, Placement
-from sagecove.coordination.placement import Room, room_of, slots, suits, zone_counts
-from sagecove.coordination.stopping import Stopping, may_stop, need
+from sagecove.coordination.placement import (
+    RoomByMachine,
+    machine_suits,
+    tasks_by_zone,
+    tasks_fitting,
+    unpromised_room,
+)
+from sagecove.coordination.preemption_policy import PreemptionPolicy, may_stop, need
 
 
 class Candidate(NamedTuple):
@@ -22,13 +28,13 @@
     tasks: int
 
 
-def find(
+def find_candidates(
     now: float,
     job: JobRun,
     count: int,
     machines: list[Machine],
-    promised: Room,
-    stopping: Stopping,
+    promised: RoomByMachine,
+    stopping: PreemptionPolicy,
     most_loss: float | None = None,
 ) -> list[Candidate]:
     """Where room for up to `count` tasks of a job can be made, best first. With `most_loss`: only
@@ -45,8 +51,8 @@
     job: JobRun,
     wanted: tuple[int, int],
     machines: list[Machine],
-    promised: Room,
-    stopping: Stopping,
+    promised: RoomByMachine,
+    stopping: PreemptionPolicy,
     most_loss: float | None,
 ) -> list[Candidate]:
     """`wanted`: tasks to make room for on each machine, and in all."""
@@ -54,9 +60,9 @@
     spec = job.spec
     patience = stopping.patience(job)
     out: list[Candidate] = []
-    counts = zone_counts(job)
+    counts = tasks_by_zone(job)
     for machine in machines:
-        if not machine.open or not suits(job, machine):
+        if not machine.accepts_tasks or not machine_suits(job, machine):
             continue
         fetch = not job.array and spec.image not in machine.images
         if fetch and most_loss is not None:
@@ -65,12 +71,12 @@
             continue
         if spec.spread and counts.get(machine.record.zone, 0) >= (spec.tasks + 1) // 2:
             continue
-        room = room_of(machine, promised)
+        room = unpromised_room(machine, promised)
         victims: list[Placement] = []
         for p in machine.tasks.values():
-            if not p.live or p.job is None:
+            if not p.takes_room or p.job is None:
                 continue
-            if p.halt is not None:
+            if p.stop_grace_s is not None:
                 room = _with(room, p)
             elif most_loss is not None and not p.job.array:
                 # With one task a whole gang stops, and takes its time to save.
@@ -79,16 +85,16 @@
                 victims.append(p)
         victims.sort(key=lambda p: (p.job.priority if p.job else 0, -p.started_at))
         chosen: list[Placement] = []
-        while slots(spec, room) < each and victims:
+        while tasks_fitting(spec, room) < each and victims:
             chosen.append(victims.pop(0))
             room = _with(room, chosen[-1])
-        fit = slots(spec, room)
+        fit = tasks_fitting(spec, room)
         if fit < 1:
             continue
         for p in reversed(chosen[:]):
             # Who is stopped in vain may stay: one that holds what is not short.
             without = _with(room, p, -1)
-            if slots(spec, without) >= min(fit, count):
+            if tasks_fitting(spec, without) >= min(fit, count):
                 room = without
                 chosen.remove(p)
         # A gang's tasks may as well share what came free: fewer machines fetch its image.
--- a/sagecove/coordination/claims/competing.py
+++ b/sagecove/coordination/claims/claimer.py
@@ -6,23 +6,23 @@
 from zlib import crc32
 
 from sagecove.coordination.backlog import Backlog
-from sagecove.coordination.claims.ground import Ground
-from sagecove.coordination.claims.making import Making
+from sagecove.coordination.claims.pass_state import PassState
+from sagecove.coordination.claims.preemptor import Preemptor
+from sagecove.coordination.estimates import TO_BEGIN, Estimates
 from sagecove.coordination.images import Images
-from sagecove.coordination.learning import TO_BEGIN, Learning
+from sagecove.coordination.interfaces import MirrorSync, OwnerContext, ShardQueries
 from sagecove.coordination.ledger import Ledger
-from sagecove.coordination.limits.limits import Limits
-from sagecove.coordination.model import JobRun, Machine, Shard, parts, standing
+from sagecove.coordination.limits.team_limits import TeamLimits
+from sagecove.coordination.model import JobRun, Machine, Shard, fixed_precedence, to_millionths
 from sagecove.coordination.placement import (
-    Room,
-    plan,
-    promise,
+    RoomByMachine,
+    add_promised,
+    machine_suits,
+    plan_placements,
     room_for,
-    room_of,
-    slots,
-    suits,
+    tasks_fitting,
+    unpromised_room,
 )
-from sagecove.coordination.ports import Desk, Syncing, Territory
 from sagecove.protocol import state as wire
 from sagecove.storage import taskset
 from sagecove.storage.records import HOLDER, JOB, tasks_most
@@ -38,20 +38,20 @@
 ASK_MOST = 200
 
 
-class Competing:
+class Claimer:
     """Claims what fits, or could be made to."""
 
     def __init__(
         self,
-        desk: Desk,
-        ground: Ground,
-        making: Making,
+        desk: OwnerContext,
+        ground: PassState,
+        making: Preemptor,
         ledger: Ledger,
-        limits: Limits,
+        limits: TeamLimits,
         backlog: Backlog,
-        learning: Learning,
-        shards: Territory,
-        sync: Syncing,
+        learning: Estimates,
+        shards: ShardQueries,
+        sync: MirrorSync,
         images: Images,
     ) -> None:
         self.desk = desk
@@ -76,7 +76,7 @@
     def ahead(self, job: JobRun) -> int:
         """How many tasks of an array will find room soon, as those that run here come to an end.
         Estimates may be far too low: what has run for longer than that does not count."""
-        if not job.array or job.blamed or not job.placed:
+        if not job.array or job.judged_faulty or not job.placed:
             return 0
         run = job.spec.estimate_s * self.learning.class_run.get(job.spec.klass, 1.0)
         share = min(1.0, self.ahead_s / max(run, self.ground.poll_s))
@@ -90,7 +90,7 @@
                 break
             old += 1
         ahead = int(share * (len(job.placed) - old))
-        if ahead <= 0 or not job.within:
+        if ahead <= 0 or not job.within_guarantee:
             return ahead
         borrowed = self.limits.standing.borrowed_by_others(job.spec.team)
         spec = job.spec
@@ -105,72 +105,90 @@
             ahead = max(surely, ahead - most)
         return ahead
 
-    def fitting(self, job: JobRun, shard: str, machines: list[Machine], promised: Room) -> int:
+    def count_fitting(
+        self, job: JobRun, shard: str, machines: list[Machine], promised: RoomByMachine
+    ) -> int:
         """How many unclaimed tasks fit this shard's free room; they are added to `promised`."""
         bits = job.unclaimed
         wanted = self.limits.claimable(shard, job.spec, bits.bit_count())
         wanted = self.making.limited(job, wanted)
-        if job.whole and wanted < bits.bit_count():
+        if job.claimed_whole and wanted < bits.bit_count():
             return 0
         if not wanted:
             return 0
         indexes = list(taskset.members(taskset.lowest(bits, min(wanted, 1000))))
-        if self.ground.roomy is not None and job.array:
-            machines = self.ground.roomy
+        if self.ground.array_candidates is not None and job.array:
+            machines = self.ground.array_candidates
         count = len(
-            plan(job, indexes, machines, self.desk.random, promised, False, self.ground.withheld)
+            plan_placements(
+                job, indexes, machines, self.desk.random, promised, False, self.ground.withheld
+            )
         )
         if count < len(indexes) and not job.gang:
-            self.ground.futile.add(job)
+            self.ground.no_room.add(job)
         return count
 
     def compete(
-        self, now: float, shard: Shard, machines: list[Machine], job: JobRun, promised: Room
+        self,
+        now: float,
+        shard: Shard,
+        machines: list[Machine],
+        job: JobRun,
+        promised: RoomByMachine,
     ) -> None:
         if job.claiming is not None and job.claiming[0] == shard.name:
             indexes = list(taskset.members(taskset.lowest(job.claiming[1], 1000)))
-            plan(job, indexes, machines, self.desk.random, promised)
+            plan_placements(job, indexes, machines, self.desk.random, promised)
             return
-        if self.open_claims >= BATCH and job.home is None:
+        if self.open_claims >= BATCH and job.durable_state is None:
             return
-        if job.withheld or job.committing or now < max(job.claim_after, job.hold_until):
+        if job.cancelled_elsewhere or job.committing or now < max(job.claim_after, job.hold_until):
             return
         bits = job.unclaimed
-        if not bits or (job.whole and bits != job.every & ~job.fin):
+        if not bits or (job.claimed_whole and bits != job.all_tasks & ~job.finished):
             return
         if job.array and self._leave_to_others(job):
             return
         wanted = bits.bit_count()
         count = 0
-        if leave := self.images.leave(job, machines, promised, wanted):
+        if leave := self.images.count_left_to_peers(job, machines, promised, wanted):
             if leave == wanted:
                 return
             wanted -= leave
             bits = taskset.lowest(bits, wanted)
-        if not self.ground.futile.known(job):
-            count = self.fitting(job, shard.name, machines, promised)
-        if job.array and job.order[:2] == (-1, TO_BEGIN):
+        if not self.ground.no_room.known(job):
+            count = self.count_fitting(job, shard.name, machines, promised)
+        if job.array and job.array_rank[:2] == (-1, TO_BEGIN):
             count = wanted = min(count, 1)
         planned = count
         # Of a small array the others should find something, too.
         ahead = min(self.ahead(job), wanted // len(self.desk.settings.nodes))
         ahead -= job.placeable(shard.name).bit_count()
-        if ahead > 0 and not job.whole:
+        if ahead > 0 and not job.claimed_whole:
             count = self.making.limited(
                 job, self.limits.claimable(shard.name, job.spec, min(wanted, count + ahead))
             )
-        if job.whole and count < wanted and not job.gang and now - job.seen_at > self.ground.poll_s:
+        if (
+            job.claimed_whole
+            and count < wanted
+            and not job.gang
+            and now - job.first_seen_at > self.ground.poll_s
+        ):
             # A service that must be decided in one place starts with what there is.
             count = wanted if count else 0
-        if job.blamed:
+        if job.judged_faulty:
             # One task is enough to see; and nothing is stopped for it.
-            count = min(count, wanted if job.whole else 1)
-        elif self.ground.making and count < wanted and now - job.seen_at > self.ground.poll_s / 3:
+            count = min(count, wanted if job.claimed_whole else 1)
+        elif (
+            self.ground.making
+            and count < wanted
+            and now - job.first_seen_at > self.ground.poll_s / 3
+        ):
             able = self.making.limited(job, self.limits.claimable(shard.name, job.spec, wanted))
             if able > count:
                 able = min(able, count + self._part(now, job, shard.name))
-                count += self.making.could_make(job, able - count, promised)
-        if not count or (job.whole and count < wanted):
+                count += self.making.count_fitting_by_preemption(job, able - count, promised)
+        if not count or (job.claimed_whole and count < wanted):
             # Asked for first: what is gathered for the gang itself looks taken. One whose machines
             # were there only after it had begun to gather never asked for its part of the limit.
             self._ask(now, shard.name, job, machines, promised)
@@ -179,19 +197,19 @@
             return
         if count < wanted:
             self._ask(now, shard.name, job, machines, promised, min(count, planned))
-        if (count := self.writable(job, count)) > 0:
+        if (count := self.limit_to_record_size(job, count)) > 0:
             self.claim(job, shard, taskset.lowest(bits, count))
 
-    def writable(self, job: JobRun, count: int) -> int:
+    def limit_to_record_size(self, job: JobRun, count: int) -> int:
         """How many of `count` more tasks the job's record has room for, whatever completes first.
         At 8 KiB a value the record of a huge array outgrew it, and none of its results could be
         written any more."""
-        if not job.array or job.home is not None or job.spec.tasks < LARGE:
+        if not job.array or job.durable_state is not None or job.spec.tasks < LARGE:
             return count
-        held = job.every & ~job.fin & ~job.unclaimed
+        held = job.all_tasks & ~job.finished & ~job.unclaimed
         settings = self.desk.settings
         most = tasks_most(
-            job.record, job.fin, held, len(settings.nodes), settings.params.state.value_kb
+            job.record, job.finished, held, len(settings.nodes), settings.params.state.value_kb
         )
         return min(count, most - held.bit_count())
 
@@ -200,11 +218,15 @@
         in proportion, wherever they run, so each controller has a part that all others find too.
         What is lacking after two polls is made wherever it can be."""
         wanted = job.unfinished.bit_count()
-        if not job.within or not job.array or now - job.seen_at > 2 * self.ground.poll_s:
+        if (
+            not job.within_guarantee
+            or not job.array
+            or now - job.first_seen_at > 2 * self.ground.poll_s
+        ):
             return wanted
-        lack = wanted * parts(job.spec.cpus), wanted * parts(job.spec.gpus)
-        part = self.limits.standing.part(shard, job.spec.team, lack)
-        each = parts(job.spec.cpus), parts(job.spec.gpus)
+        lack = wanted * to_millionths(job.spec.cpus), wanted * to_millionths(job.spec.gpus)
+        part = self.limits.standing.reclaim_from_shard(shard, job.spec.team, lack)
+        each = to_millionths(job.spec.cpus), to_millionths(job.spec.gpus)
         tasks = max((-(-part[n] // each[n]) for n in (0, 1) if each[n]), default=wanted)
         return max(0, tasks - job.claimed(shard).bit_count())
 
@@ -214,34 +236,36 @@
         shard: str,
         job: JobRun,
         machines: list[Machine],
-        promised: Room,
+        promised: RoomByMachine,
         planned: int = 0,
     ) -> None:
         """Ask for more of the team's limit, if that is what keeps tasks from room there is here, or
         that could be made."""
         wanted = job.unclaimed.bit_count()
         able = self.limits.claimable(shard, job.spec, wanted)
-        if able >= wanted or job.blamed or not self.ground.making:
+        if able >= wanted or job.judged_faulty or not self.ground.making:
             return
         if not self.making.limited(job, 1):
             # It may not have what it would be given.
             return
         # No more than nobody uses: wanting what there is not takes the room from other teams.
-        most = self.limits.obtainable(job.spec, wanted if job.whole else min(wanted, ASK_MOST))
-        if most <= able or (job.whole and most < wanted):
+        most = self.limits.claimable_anywhere(
+            job.spec, wanted if job.claimed_whole else min(wanted, ASK_MOST)
+        )
+        if most <= able or (job.claimed_whole and most < wanted):
             return
         found = planned + room_for(job, machines, promised, self.ground.asked, most - planned)
         if found < most:
-            found += self.making.could_make(job, most - found, promised)
-        if found > able and (found >= wanted or not job.whole):
-            self.limits.want(now, shard, job, found)
+            found += self.making.count_fitting_by_preemption(job, most - found, promised)
+        if found > able and (found >= wanted or not job.claimed_whole):
+            self.limits.request_share(now, shard, job, found)
 
     def note_crowd(self, jobs: list[JobRun]) -> None:
         """Jobs of a pass: how many wait to be claimed, by their standing."""
         self.crowd.clear()
         for job in jobs:
             if job.unclaimed:
-                key = standing(job)
+                key = fixed_precedence(job)
                 self.crowd[key] = self.crowd.get(key, 0) + 1
 
     def _leave_to_others(self, job: JobRun) -> bool:
@@ -250,13 +274,18 @@
         all together, with a thousand machines idle. Who is beaten looks further down, by chance,
         the more the more often; who is not keeps to the order. Not where there is nothing further
         down that comes as soon: one job that fills a guarantee was claimed bit by bit."""
-        if self.crowd.get(standing(job), 0) <= 1:
+        if self.crowd.get(fixed_precedence(job), 0) <= 1:
             return False
         nodes = len(self.desk.settings.nodes)
         return self.desk.random.random() < self.beaten * (1 - 1 / nodes)
 
     def _gather(
-        self, job: JobRun, shard: Shard, count: int, machines: list[Machine], promised: Room
+        self,
+        job: JobRun,
+        shard: Shard,
+        count: int,
+        machines: list[Machine],
+        promised: RoomByMachine,
     ) -> None:
         """A gang does not fit yet. Smaller ones may go ahead of it for as long as its own machines
         take to boot; from then on what is free where it is served, in one zone if need be, waits
@@ -267,71 +296,76 @@
         spec = job.spec
         here = [
             m
-            for m in self.desk.by_shard.get(shard.name, {}).values()
-            if m.kind is not None and not m.record.leaving and suits(job, m)
+            for m in self.desk.machines_by_shard.get(shard.name, {}).values()
+            if m.machine_type is not None and not m.record.leaving and machine_suits(job, m)
         ]
-        home = self.shards.home(job)
+        home = self.shards.home_shard(job)
         if spec.one_zone:
             # The zone with most of such machines, whatever is free at the moment: it stays so.
-            zones = Counter(m.record.zone for m in self.desk.by_shard.get(home, {}).values())
+            zones = Counter(
+                m.record.zone for m in self.desk.machines_by_shard.get(home, {}).values()
+            )
             zone = max(sorted(zones), key=lambda z: zones[z], default="")
             here = [m for m in here if m.record.zone == zone]
         if home == shard.name:
             names = {m.name for m in here}
             for machine in machines:
-                more = min(count, slots(spec, room_of(machine, promised)))
+                more = min(count, tasks_fitting(spec, unpromised_room(machine, promised)))
                 if more > 0 and machine.name in names:
-                    promise(promised, machine.name, spec, more)
+                    add_promised(promised, machine.name, spec, more)
                     count -= more
                 if count <= 0:
                     break
             return
         # What its home cannot hold comes from the others, and only empty machines can: each lets
         # its part of them run empty, those with least on them, and hands them over then.
-        part = -(-self.shards.beyond(job, home) // max(1, len(self.desk.settings.nodes) - 1))
+        part = -(
+            -self.shards.tasks_beyond_capacity(job, home)
+            // max(1, len(self.desk.settings.nodes) - 1)
+        )
         here.sort(key=lambda m: (m.used[0], m.name))
         for machine in here:
             if part <= 0:
                 break
-            kind = machine.kind
+            kind = machine.machine_type
             assert kind is not None
-            part -= slots(spec, (kind.cpus, kind.gpus, kind.memory_gb))
-            room = room_of(machine, promised)
+            part -= tasks_fitting(spec, (kind.cpus, kind.gpus, kind.memory_gb))
+            room = unpromised_room(machine, promised)
             held = promised.setdefault(machine.name, [0.0, 0.0, 0.0])
             for n in range(3):
                 held[n] += max(0.0, room[n])
 
     def claim(self, job: JobRun, shard: Shard, bits: int) -> None:
         """Claim tasks for a shard, within its share of the limit."""
-        if job.home is not None:
+        if job.durable_state is not None:
             job.committing = True
             job.claiming = (shard.name, bits)
-            self.backlog.settle(job)
-            self.ledger.claims(job)
-            job.home.claim(job, shard, bits)
+            self.backlog.reclassify(job)
+            self.ledger.update_claims(job)
+            job.durable_state.write_claim(job, shard, bits)
             return
-        change = self.claim_change(shard, job, bits)
+        change = self.claim_write(shard, job, bits)
         if change is None:
             job.claim_after = self.desk.now + self.ground.poll_s / 2
             return
         self.open_claims += 1
         job.committing = True
         job.claiming = (shard.name, bits)
-        self.backlog.settle(job)
-        self.ledger.claims(job)
+        self.backlog.reclassify(job)
+        self.ledger.update_claims(job)
 
         def done(result: Result) -> None:
             job.committing = False
             job.claiming = None
-            self.ledger.claims(job)
+            self.ledger.update_claims(job)
             self.open_claims -= 1
-            self.desk.dirty = True
+            self.desk.pass_needed = True
             beaten = result.outcome is Outcome.CONFLICT and JOB + job.id in result.failed
             self.beaten += (float(beaten) - self.beaten) / (2 * BATCH)
             if result.outcome is Outcome.DONE:
                 return
             self.desk.count("claim_conflicts")
-            self.sync.want_sync()
+            self.sync.request_sync()
             if beaten and job.array:
                 job.claim_after = self.desk.now + self._turn(job) * self.ground.poll_s / TURNS
             else:
@@ -349,7 +383,7 @@
         turn = nodes.index(self.desk.settings.node)
         return turn + self.desk.random.uniform(0.5, 1.0)
 
-    def claim_change(self, shard: Shard, job: JobRun, bits: int) -> wire.Put | None:
+    def claim_write(self, shard: Shard, job: JobRun, bits: int) -> wire.Put | None:
         """The write of a claim; None where the shard's share of its team's limit stands against
         it."""
         count = bits.bit_count()
@@ -357,22 +391,22 @@
             return None
         claims = dict(job.claims)
         claims[shard.name] = claims.get(shard.name, 0) | bits
-        return wire.Put(JOB + job.id, job.with_sets(job.fin, claims))
+        return wire.Put(JOB + job.id, job.with_sets(job.finished, claims))
 
     def claim_alike(
-        self, now: float, shard: Shard, jobs: list[JobRun], promised: Room
+        self, now: float, shard: Shard, jobs: list[JobRun], promised: RoomByMachine
     ) -> list[JobRun]:
         """Claim as many of the jobs that are alike as fit, and return the others."""
         first = jobs[0]
         wanted = self.limits.claimable(shard.name, first.spec, len(jobs))
         wanted = self.making.limited(first, wanted)
-        if not wanted or self.ground.futile.known(first) or self.ground.roomy is None:
+        if not wanted or self.ground.no_room.known(first) or self.ground.array_candidates is None:
             return jobs
         count = len(
-            plan(
+            plan_placements(
                 first,
                 list(range(wanted)),
-                self.ground.roomy,
+                self.ground.array_candidates,
                 self.desk.random,
                 promised,
                 False,
--- a/sagecove/coordination/claims/ground.py
+++ b/sagecove/coordination/claims/pass_state.py
@@ -4,30 +4,30 @@
 
 from bisect import bisect_right
 
+from sagecove.coordination.interfaces import OwnerContext
 from sagecove.coordination.ledger import Ledger
 from sagecove.coordination.model import JobRun, Machine
 from sagecove.coordination.placement import (
-    Futile,
-    Room,
+    NoRoomCache,
+    RoomByMachine,
 )
-from sagecove.coordination.ports import Desk
-from sagecove.coordination.stopping import Stopping, largest_victim, may_stop, need
+from sagecove.coordination.preemption_policy import PreemptionPolicy, largest_victim, may_stop, need
 
 
-class Ground:
+class PassState:
     """What a pass knows of the shard it looks at; noted anew for each."""
 
-    def __init__(self, desk: Desk, ledger: Ledger, stopping: Stopping) -> None:
+    def __init__(self, desk: OwnerContext, ledger: Ledger, stopping: PreemptionPolicy) -> None:
         self.desk = desk
         self.ledger = ledger
         self.stopping = stopping
         self.poll_s = desk.settings.poll_s
         # When room may be made again.
-        self.make_at = 0.0
+        self.preempt_after = 0.0
         self.making = False
         self.packing = False
         # Machines on which any array of the pass may find room at all; None: not known.
-        self.roomy: list[Machine] | None = None
+        self.array_candidates: list[Machine] | None = None
         self.withheld: dict[str, JobRun] = {}
         # Per team: CPUs and GPUs of jobs that wait to be claimed as a whole.
         self.held_back: dict[str, list[float]] = {}
@@ -40,9 +40,9 @@
         self.pledged = 0.0
         # Room for which shares of limits are asked in this pass: a controller that asked every team
         # for the same room gathered all their limits, and the others had none.
-        self.asked: Room = {}
-        self.futile = Futile()
-        self.futile_making = Futile()
+        self.asked: RoomByMachine = {}
+        self.no_room = NoRoomCache()
+        self.no_room_by_preemption = NoRoomCache()
         # Jobs that have tasks running in the shard at hand: what may be stopped at all.
         self.running: list[JobRun] = []
         self.sizes: list[float] = []
@@ -51,13 +51,17 @@
         # By a job's rights: room by machine, and CPUs of tasks that are waited for instead.
         self.yields: dict[tuple[object, ...], tuple[dict[str, list[float]], float]] = {}
 
-    def look_around(self, shard: str) -> None:
+    def scan_running_jobs(self, shard: str) -> None:
         """Note the smallest job of each standing that is running on a shard's machines (of each
         team, where teams matter): what there is to be stopped at all."""
         seen: dict[tuple[object, ...], JobRun] = {}
         sizes: set[float] = set()
-        for job in self.ledger.running(shard):
-            key = (job.priority, job.within, "" if job.within else job.spec.team)
+        for job in self.ledger.jobs_with_tasks(shard):
+            key = (
+                job.priority,
+                job.within_guarantee,
+                "" if job.within_guarantee else job.spec.team,
+            )
             if key not in seen or job.spec.cpus < seen[key].spec.cpus:
                 seen[key] = job
             sizes.add(job.spec.cpus)
@@ -87,15 +91,15 @@
         if known is not None:
             return known
         patience = stopping.patience(job)
-        going = self.ledger.stopping(self.around)
+        going = self.ledger.stopping_placements(self.around)
         ending = 0.0
-        for other in self.ledger.running(self.around):
+        for other in self.ledger.jobs_with_tasks(self.around):
             if not may_stop(job, other):
                 continue
             here = [
                 p
                 for p in other.placed.values()
-                if p.halt is None and p.machine.record.shard == self.around
+                if p.stop_grace_s is None and p.machine.record.shard == self.around
             ]
             worth, soon = stopping.sort(patience, other, here)
             going += worth
--- a/sagecove/coordination/claims/placing.py
+++ b/sagecove/coordination/claims/placer.py
@@ -4,23 +4,23 @@
 
 import logging
 
-from sagecove.coordination.claims.competing import Competing
-from sagecove.coordination.claims.ground import Ground
-from sagecove.coordination.claims.making import Making
-from sagecove.coordination.claims.releasing import Releasing
+from sagecove.coordination.claims.claimer import Claimer
+from sagecove.coordination.claims.pass_state import PassState
+from sagecove.coordination.claims.preemptor import Preemptor
+from sagecove.coordination.claims.releaser import Releaser
 from sagecove.coordination.images import Images
+from sagecove.coordination.interfaces import MachineCommands, OwnerContext
 from sagecove.coordination.ledger import Ledger
-from sagecove.coordination.limits.limits import Limits
+from sagecove.coordination.limits.team_limits import TeamLimits
 from sagecove.coordination.model import JobRun, Machine, Placement, Shard
 from sagecove.coordination.placement import (
-    Room,
-    keep_reserved,
-    plan,
-    promise,
-    slots,
+    RoomByMachine,
+    add_promised,
+    plan_placements,
+    promise_reserved,
+    tasks_fitting,
 )
-from sagecove.coordination.ports import Desk, Halting
-from sagecove.coordination.stopping import need
+from sagecove.coordination.preemption_policy import need
 from sagecove.storage import taskset
 
 log = logging.getLogger("sagecove.claims")
@@ -29,19 +29,19 @@
 WARMING_MOST = 1000
 
 
-class Placing:
+class Placer:
     """Places claimed tasks."""
 
     def __init__(
         self,
-        desk: Desk,
-        ground: Ground,
-        making: Making,
-        releasing: Releasing,
-        competing: Competing,
+        desk: OwnerContext,
+        ground: PassState,
+        making: Preemptor,
+        releasing: Releaser,
+        competing: Claimer,
         ledger: Ledger,
-        limits: Limits,
-        workers: Halting,
+        limits: TeamLimits,
+        workers: MachineCommands,
         images: Images,
     ) -> None:
         self.desk = desk
@@ -57,53 +57,62 @@
         self.competing = competing
 
     def _unreserve(self, job: JobRun, shard: str) -> None:
-        for name in [n for n in job.reserved if n in self.desk.by_shard.get(shard, {})]:
+        for name in [n for n in job.reserved if n in self.desk.machines_by_shard.get(shard, {})]:
             del job.reserved[name]
 
     def place(
-        self, now: float, shard: Shard, machines: list[Machine], job: JobRun, promised: Room
+        self,
+        now: float,
+        shard: Shard,
+        machines: list[Machine],
+        job: JobRun,
+        promised: RoomByMachine,
     ) -> None:
         """Place claimed tasks; make room for them; release those that find none."""
         name = shard.name
         if job.id in self.ground.kept:
             # Kept from others of its standing; its own to take.
-            keep_reserved(promised, job, -1)
+            promise_reserved(promised, job, -1)
         bits = job.placeable(name)
         if not bits:
-            job.stuck_at.pop(name, None)
+            job.unplaceable_since.pop(name, None)
             self._unreserve(job, name)
             return
         if now < job.hold_until or (job.gang and job.placed):
-            keep_reserved(promised, job)
+            promise_reserved(promised, job)
             return
         spec = job.spec
         wanted = bits.bit_count()
-        allowed = self.making.limited(job, self.limits.places(name, spec, wanted), True)
-        if allowed < wanted and not job.blamed:
-            self.limits.want(now, name, job, 0)
+        allowed = self.making.limited(job, self.limits.startable(name, spec, wanted), True)
+        if allowed < wanted and not job.judged_faulty:
+            self.limits.request_share(now, name, job, 0)
         indexes: list[int] = []
         if allowed >= wanted or (allowed > 0 and not job.gang):
-            most = 1 if job.blamed and not job.gang else 1000
+            most = 1 if job.judged_faulty and not job.gang else 1000
             indexes = list(taskset.members(taskset.lowest(bits, min(allowed, most))))
-        usable = machines if self.ground.roomy is None or not job.array else self.ground.roomy
+        usable = (
+            machines
+            if self.ground.array_candidates is None or not job.array
+            else self.ground.array_candidates
+        )
         if not job.array:
             # An earlier attempt that has exited is still to be removed from some.
             usable = [
                 m
                 for m in machines
-                if not any(p.job is job and not p.live for p in m.tasks.values())
+                if not any(p.job is job and not p.takes_room for p in m.tasks.values())
             ]
         planned: list[tuple[int, Machine]] = []
-        if indexes and not self.ground.futile.known(job):
+        if indexes and not self.ground.no_room.known(job):
             # Services stay long: spread thinly, they would keep every machine from its return.
             packing = self.ground.packing or job.service
-            planned = plan(
+            planned = plan_placements(
                 job, indexes, usable, self.desk.random, promised, packing, self.ground.withheld
             )
             for _, machine in planned:
-                promise(promised, machine.name, spec, -1)
+                add_promised(promised, machine.name, spec, -1)
             if len(planned) < len(indexes) and not job.gang and (job.array or usable is machines):
-                self.ground.futile.add(job)
+                self.ground.no_room.add(job)
         cold = planned and not job.array
         if cold and self._wait_for_image(now, job, planned, machines, promised):
             return
@@ -112,8 +121,8 @@
             for index, machine in planned:
                 self._start(now, job, index, machine, attempt)
         left = wanted - len(planned)
-        if not left or (job.blamed and planned) or left <= self.competing.ahead(job):
-            job.stuck_at.pop(name, None)
+        if not left or (job.judged_faulty and planned) or left <= self.competing.ahead(job):
+            job.unplaceable_since.pop(name, None)
             self._unreserve(job, name)
             return
         if not job.array:
@@ -121,14 +130,14 @@
         if now > job.reserved_until:
             job.reserved.clear()
         making = self._still_made(job, left, [machine for _, machine in planned])
-        keep_reserved(promised, job)
-        if len(indexes) - len(planned) > making and self.ground.making and not job.blamed:
+        promise_reserved(promised, job)
+        if len(indexes) - len(planned) > making and self.ground.making and not job.judged_faulty:
             making += self.making.make_room(
                 now, job, len(indexes) - len(planned) - making, machines, promised
             )
-        if not job.blamed:
+        if not job.judged_faulty:
             self.ground.pledged += max(0, left - making) * spec.cpus
-        since = job.stuck_at.setdefault(name, now)
+        since = job.unplaceable_since.setdefault(name, now)
         if (
             not self.ground.making
             or making >= left
@@ -144,7 +153,7 @@
         job: JobRun,
         planned: list[tuple[int, Machine]],
         machines: list[Machine],
-        promised: Room,
+        promised: RoomByMachine,
     ) -> bool:
         """There is room for a gang or service, but not beside its image. Where others can be
         stopped for it beside its image, at the price of less work than the fetch would cost, that
@@ -153,21 +162,21 @@
         image = job.spec.image
         cold = [machine for _, machine in planned if image not in machine.images]
         fetch_s = self.images.fetch_s(job.spec)
-        if not cold or fetch_s < 2 * self.ground.poll_s or job.blamed or job.errors:
+        if not cold or fetch_s < 2 * self.ground.poll_s or job.judged_faulty or job.failed_on:
             return False
         until = self.warming.get(job.id)
         if until is not None:
             if now >= until or not job.reserved:
                 return False
-            keep_reserved(promised, job)
+            promise_reserved(promised, job)
             return True
-        if now - job.seen_at > 4 * self.ground.poll_s or job.attempt or job.reserved:
+        if now - job.first_seen_at > 4 * self.ground.poll_s or job.attempt or job.reserved:
             # Room made for it without regard to images is to be used: left for a moment, it was
             # taken by those who had been stopped for it, and made again, a hundred times over.
             return False
         if not self.ground.making:
             for _, machine in planned:
-                promise(promised, machine.name, job.spec)
+                add_promised(promised, machine.name, job.spec)
             return True
         if len(self.warming) > WARMING_MOST:
             self.warming.clear()
@@ -199,11 +208,11 @@
         machine = self.desk.machines.get(name)
         if machine is None:
             return 0
-        room = list(machine.free())
+        room = list(machine.free_room())
         for p in machine.tasks.values():
-            if p.halt is not None and p.live and p.job is not None:
+            if p.stop_grace_s is not None and p.takes_room and p.job is not None:
                 room = [have + more for have, more in zip(room, need(p.job), strict=True)]
-        return slots(job.spec, (room[0], room[1], room[2]))
+        return tasks_fitting(job.spec, (room[0], room[1], room[2]))
 
     def _start(self, now: float, job: JobRun, index: int, machine: Machine, attempt: int) -> None:
         task = f"{job.id}/{index}"
@@ -212,8 +221,8 @@
             return
         placement = Placement(job, index, task, attempt, machine)
         placement.started_at = now
-        self.ledger.put(machine, placement)
-        self.workers.hurry(machine)
+        self.ledger.add_placement(machine, placement)
+        self.workers.mark_urgent(machine)
         job.attempt = attempt
         log.info(
             "start task=%s attempt=%d machine=%s team=%s waited=%.1f within=%d image=%d",
@@ -221,31 +230,31 @@
             attempt,
             machine.name,
             job.spec.team,
-            self.desk.wall() - job.at,
-            job.within,
+            self.desk.wall() - job.submitted_at,
+            job.within_guarantee,
             job.spec.image in machine.images,
         )
 
     def place_alike(
-        self, now: float, shard: Shard, jobs: list[JobRun], promised: Room
+        self, now: float, shard: Shard, jobs: list[JobRun], promised: RoomByMachine
     ) -> list[JobRun]:
         """Place claimed jobs that are alike, and return those that found no place."""
         first = jobs[0]
         allowed = self.making.limited(
-            first, self.limits.places(shard.name, first.spec, len(jobs)), True
+            first, self.limits.startable(shard.name, first.spec, len(jobs)), True
         )
-        if not allowed or self.ground.futile.known(first) or self.ground.roomy is None:
+        if not allowed or self.ground.no_room.known(first) or self.ground.array_candidates is None:
             return jobs
-        planned = plan(
+        planned = plan_placements(
             first,
             list(range(allowed)),
-            self.ground.roomy,
+            self.ground.array_candidates,
             self.desk.random,
             promised,
             self.ground.packing,
             self.ground.withheld,
         )
         for number, machine in planned:
-            promise(promised, machine.name, first.spec, -1)
+            add_promised(promised, machine.name, first.spec, -1)
             self._start(now, jobs[number], 0, machine, shard.next_attempt())
         return jobs[len(planned) :]
--- a/sagecove/coordination/claims/making.py
+++ b/sagecove/coordination/claims/preemptor.py
@@ -5,40 +5,47 @@
 from collections.abc import Iterable
 from math import ceil
 
-from sagecove.coordination.claims.candidates import Candidate, find
-from sagecove.coordination.claims.ground import Ground
+from sagecove.coordination.claims.candidates import Candidate, find_candidates
+from sagecove.coordination.claims.pass_state import PassState
+from sagecove.coordination.interfaces import MachineCommands, OwnerContext, ShardQueries
 from sagecove.coordination.ledger import Ledger
-from sagecove.coordination.limits.limits import Limits
-from sagecove.coordination.model import EPS, JobRun, Machine, Placement, Shard, standing
+from sagecove.coordination.limits.team_limits import TeamLimits
+from sagecove.coordination.model import (
+    ROOM_EPSILON,
+    JobRun,
+    Machine,
+    Placement,
+    Shard,
+    fixed_precedence,
+)
 from sagecove.coordination.placement import (
-    Room,
-    fills_most,
+    RoomByMachine,
+    add_promised,
+    fills_most_of_machine,
     machine_allowed,
-    promise,
-    room_of,
-    slots,
-    suits,
+    machine_suits,
+    tasks_fitting,
+    unpromised_room,
 )
-from sagecove.coordination.ports import Desk, Halting, Territory
-from sagecove.coordination.stopping import Stopping, need
+from sagecove.coordination.preemption_policy import PreemptionPolicy, need
 from sagecove.protocol.cloud import MachineType
 
 # Boots of a machine after which a gang waits for long.
 LONG_BOOTS = 1.5
 
 
-class Making:
+class Preemptor:
     """Makes room, or says how much could be made."""
 
     def __init__(
         self,
-        desk: Desk,
-        ground: Ground,
+        desk: OwnerContext,
+        ground: PassState,
         ledger: Ledger,
-        limits: Limits,
-        stopping: Stopping,
-        workers: Halting,
-        shards: Territory,
+        limits: TeamLimits,
+        stopping: PreemptionPolicy,
+        workers: MachineCommands,
+        shards: ShardQueries,
     ) -> None:
         self.desk = desk
         self.shards = shards
@@ -64,10 +71,10 @@
             if not self.allowed(job) or not (self.long_waiting(now, job) or self._young(now, job)):
                 continue
             for machine in machines:
-                kind = machine.kind
+                kind = machine.machine_type
                 if kind is None or machine.name in out or not machine_allowed(job.spec, machine):
                     continue
-                if fills_most(job.spec, kind):
+                if fills_most_of_machine(job.spec, kind):
                     out[machine.name] = job
         return out
 
@@ -76,7 +83,7 @@
         room from others: beside idle machines they waited for as long as the team's other work ran,
         which may be for good."""
         lack = job.unclaimed.bit_count()
-        return self.limits.obtainable(job.spec, lack) >= lack
+        return self.limits.claimable_anywhere(job.spec, lack) >= lack
 
     def hold_back(self, now: float, shard: Shard, job: JobRun) -> None:
         """A job waits to be claimed as a whole: what comes after it in its team leaves it room
@@ -90,11 +97,11 @@
             _hold(self.ground.held_long, job, job.unclaimed.bit_count())
         if (
             not self.ground.making
-            or now - job.seen_at < 2 * self.ground.poll_s / 3
+            or now - job.first_seen_at < 2 * self.ground.poll_s / 3
             or now < job.trim_after
         ):
             return
-        spare = self.limits.left(spec.team)
+        spare = self.limits.unclaimed(spec.team)
         # Of either resource: at a limit of GPUs alone nothing was ever stopped for a service.
         nodes = len(self.desk.settings.nodes)
         lack = [max(h - s, 0.0) / nodes for h, s in zip(held, spare, strict=True)]
@@ -102,11 +109,12 @@
             return
         victims = [
             p
-            for other in self.ledger.running(shard.name)
+            for other in self.ledger.jobs_with_tasks(shard.name)
             if other.array and other.spec.team == spec.team and other.priority < job.priority
-            if (lack[0] > EPS and other.spec.cpus) or (lack[1] > EPS and other.spec.gpus)
+            if (lack[0] > ROOM_EPSILON and other.spec.cpus)
+            or (lack[1] > ROOM_EPSILON and other.spec.gpus)
             for p in other.placed.values()
-            if p.live and p.halt is None and p.machine.record.shard == shard.name
+            if p.takes_room and p.stop_grace_s is None and p.machine.record.shard == shard.name
         ]
         victims.sort(key=lambda p: -p.started_at)
         for p in victims:
@@ -115,31 +123,32 @@
             assert p.job is not None
             lack = [lack[0] - p.job.spec.cpus, lack[1] - p.job.spec.gpus]
             job.trim_after = now + 4 * self.ground.poll_s
-            self.workers.halt(p, p.job.grace_s, job.id)
+            self.workers.stop_task(p, p.job.grace_s, job.id)
 
     def keep_limit(self, shard: str) -> None:
         """A limit was lowered below what runs: the last started of the lowest standing stops."""
-        for team, (cpus, gpus) in self.limits.excess(shard).items():
+        for team, (cpus, gpus) in self.limits.excess_use(shard).items():
             running = [
                 p
-                for other in self.ledger.running(shard)
+                for other in self.ledger.jobs_with_tasks(shard)
                 if other.spec.team == team
                 for p in other.placed.values()
-                if p.live and p.machine.record.shard == shard
+                if p.takes_room and p.machine.record.shard == shard
             ]
             over = [cpus, gpus]
             # First what is on its way out already.
-            running.sort(key=lambda p: (p.halt is None, _last(p)))
+            running.sort(key=lambda p: (p.stop_grace_s is None, _last(p)))
             for p in running:
                 assert p.job is not None
                 if not any(
-                    over[n] > EPS and (p.job.spec.cpus, p.job.spec.gpus)[n] > 0 for n in (0, 1)
+                    over[n] > ROOM_EPSILON and (p.job.spec.cpus, p.job.spec.gpus)[n] > 0
+                    for n in (0, 1)
                 ):
                     continue
                 over[0] -= p.job.spec.cpus
                 over[1] -= p.job.spec.gpus
-                if p.halt is None:
-                    self.workers.halt(p, p.job.grace_s, "limit")
+                if p.stop_grace_s is None:
+                    self.workers.stop_task(p, p.job.grace_s, "limit")
 
     def add_held(self, job: JobRun, count: int) -> list[float]:
         """Hold back what tasks of a job need of its team's limit; all that its team holds back."""
@@ -148,11 +157,11 @@
     def long_waiting(self, now: float, job: JobRun) -> bool:
         """A job waits for longer than machines of its own would take to boot: smaller ones of its
         standing no longer go ahead of it."""
-        return not self._young(now, job) and self.shards.could_hold(job)
+        return not self._young(now, job) and self.shards.fleet_can_hold(job)
 
     def _young(self, now: float, job: JobRun) -> bool:
         """Machines of its own may still be booting."""
-        return now - job.seen_at < long_wait_s(self.desk.types.values())
+        return now - job.first_seen_at < gang_long_wait_s(self.desk.machine_types.values())
 
     def limited(self, job: JobRun, wanted: int, claimed: bool = False) -> int:
         """How many tasks of an array may be claimed (or, claimed already, placed) beside what is
@@ -167,14 +176,14 @@
         held = table.get(job.spec.team)
         if held is None:
             return wanted
-        left = self.limits.left(job.spec.team)
+        left = self.limits.unclaimed(job.spec.team)
         for n, each in enumerate((job.spec.cpus, job.spec.gpus)):
             if each <= 0 or held[n] <= 0:
                 continue
-            if held[n] > left[n] + EPS:
+            if held[n] > left[n] + ROOM_EPSILON:
                 return 0
             if not claimed:
-                wanted = min(wanted, int((left[n] - held[n] + EPS) / each))
+                wanted = min(wanted, int((left[n] - held[n] + ROOM_EPSILON) / each))
         return wanted
 
     def make_room(
@@ -183,7 +192,7 @@
         job: JobRun,
         count: int,
         machines: list[Machine],
-        promised: Room,
+        promised: RoomByMachine,
         most_loss: float | None = None,
     ) -> int:
         """Stop tasks that this job may displace; how many of its tasks will then fit. With
@@ -192,18 +201,18 @@
         making = 0
         spec = job.spec
         rank = self.stopping.rank(job)
-        if self.ground.futile_making.known(job, rank) or not self.ground.stoppable(job):
+        if self.ground.no_room_by_preemption.known(job, rank) or not self.ground.stoppable(job):
             return 0
         # What ends by itself is not stopped as well.
         count -= self.ground.coming(job)
         if count <= 0:
             return 0
         where = self.ground.candidates(job, machines)
-        found = find(now, job, count, where, promised, self.stopping, most_loss)
-        if job.within and not job.service:
+        found = find_candidates(now, job, count, where, promised, self.stopping, most_loss)
+        if job.within_guarantee and not job.service:
             found = self._in_proportion(now, found)
         if not found and most_loss is None:
-            self.ground.futile_making.add(job, rank)
+            self.ground.no_room_by_preemption.add(job, rank)
         if (job.gang or most_loss is not None) and sum(c.tasks for c in found) < count:
             return 0
         for candidate in found:
@@ -212,7 +221,7 @@
             tasks = min(candidate.tasks, count - making)
             making += tasks
             name = candidate.machine.name
-            promise(promised, name, spec, tasks)
+            add_promised(promised, name, spec, tasks)
             job.reserved[name] = job.reserved.get(name, 0) + tasks
             job.reserved_until = now + 2 * self.desk.settings.params.workers.report_s + 10.0
             for p in candidate.victims:
@@ -220,7 +229,7 @@
                 team = p.job.spec.team
                 self.given[team] = self.given.get(team, 0.0) + p.job.spec.cpus
                 self.stopping.stopped(p)
-                self.workers.halt(p, p.job.grace_s, job.id)
+                self.workers.stop_task(p, p.job.grace_s, job.id)
         return making
 
     def _in_proportion(self, now: float, candidates: list[Candidate]) -> list[Candidate]:
@@ -241,7 +250,7 @@
         out = by_team.pop("", [])
         if len(by_team) < 2:
             return out + [c for group in by_team.values() for c in group]
-        borrowed = {team: max(1e-6, self.limits.standing.borrowed(team)) for team in by_team}
+        borrowed = {team: max(1e-6, self.limits.standing.borrowing_ratio(team)) for team in by_team}
         given = {team: self.given.get(team, 0.0) for team in by_team}
         while by_team:
             team = min(by_team, key=lambda t: ((given[t] + _stops(by_team[t][0])) / borrowed[t], t))
@@ -251,12 +260,12 @@
                 del by_team[team]
         return out
 
-    def could_make(self, job: JobRun, count: int, promised: Room) -> int:
+    def count_fitting_by_preemption(self, job: JobRun, count: int, promised: RoomByMachine) -> int:
         """How many tasks would fit if others were stopped for them (nothing is stopped yet)."""
         making = 0
         spec = job.spec
         rank = self.stopping.rank(job)
-        if self.ground.futile_making.known(job, rank) or not self.ground.stoppable(job):
+        if self.ground.no_room_by_preemption.known(job, rank) or not self.ground.stoppable(job):
             return 0
         zones: dict[str, int] = {}
         count -= self.ground.coming(job)
@@ -264,17 +273,21 @@
             return 0
         count += ceil(self.ground.pledged / max(spec.cpus, 0.1))
         yielding = self.ground.yielding(job)
-        free = self.ledger.free(self.ground.around) if job.whole else []
+        free = self.ledger.machines_with_room(self.ground.around) if job.claimed_whole else []
         for machine in self.ground.candidates(job, free):
             if making >= count:
                 break
             more = yielding.get(machine.name)
-            if (more is None and not job.whole) or not machine.open or not suits(job, machine):
+            if (
+                (more is None and not job.claimed_whole)
+                or not machine.accepts_tasks
+                or not machine_suits(job, machine)
+            ):
                 continue
-            cpus, gpus, memory = room_of(machine, promised)
+            cpus, gpus, memory = unpromised_room(machine, promised)
             if more is not None:
                 cpus, gpus, memory = cpus + more[0], gpus + more[1], memory + more[2]
-            fitting = slots(spec, (cpus, gpus, memory))
+            fitting = tasks_fitting(spec, (cpus, gpus, memory))
             if fitting >= 1:
                 # Of an array one claim takes all that a machine can give, or nine controllers
                 # compete for the job's record many times over.
@@ -283,11 +296,11 @@
                 zones[zone] = zones.get(zone, 0) + more_here
                 making = min(max(zones.values()), count)
         if not making:
-            self.ground.futile_making.add(job, rank)
+            self.ground.no_room_by_preemption.add(job, rank)
         return max(0, making - ceil(self.ground.pledged / max(spec.cpus, 0.1)))
 
 
-def long_wait_s(types: Iterable[MachineType]) -> float:
+def gang_long_wait_s(types: Iterable[MachineType]) -> float:
     """After how long a gang waits for long (seconds)."""
     return LONG_BOOTS * max((t.boot_s for t in types), default=0.0)
 
@@ -302,13 +315,13 @@
 
 def _lacks(amounts: list[float]) -> bool:
     """There is something of either resource."""
-    return any(amount > EPS for amount in amounts)
+    return any(amount > ROOM_EPSILON for amount in amounts)
 
 
 def _last(p: Placement) -> tuple[bool, bool, int, float]:
     """The order in which tasks are stopped when their team's limit is lowered."""
     assert p.job is not None
-    first = standing(p.job)
+    first = fixed_precedence(p.job)
     return not first[0], not first[1], -first[2], -p.started_at
 
 
--- a/sagecove/coordination/claims/results.py
+++ b/sagecove/coordination/claims/results.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from sagecove.coordination.backlog import Backlog
+from sagecove.coordination.interfaces import MachineCommands, MirrorSync, OwnerContext
 from sagecove.coordination.model import JobRun, Shard
-from sagecove.coordination.ports import Desk, Halting, Syncing
 from sagecove.protocol import state as wire
 from sagecove.protocol.users import DONE
 from sagecove.storage.records import HOLDER, JOB, OVER, OverRecord
@@ -14,7 +14,9 @@
 class Results:
     """Writes what has come of tasks."""
 
-    def __init__(self, desk: Desk, backlog: Backlog, workers: Halting, sync: Syncing) -> None:
+    def __init__(
+        self, desk: OwnerContext, backlog: Backlog, workers: MachineCommands, sync: MirrorSync
+    ) -> None:
         self.desk = desk
         self.backlog = backlog
         self.workers = workers
@@ -23,19 +25,21 @@
 
     def record(self, now: float, shards: list[Shard]) -> None:
         """Make finished tasks durable; end jobs whose last task has."""
-        for job in list(self.backlog.open.values()):
-            if not job.fresh or job.committing:
+        for job in list(self.backlog.dirty_jobs.values()):
+            if not job.finished_unrecorded or job.committing:
                 continue
-            shard = next((s for s in shards if job.claims.get(s.name, 0) & job.fresh), None)
+            shard = next(
+                (s for s in shards if job.claims.get(s.name, 0) & job.finished_unrecorded), None
+            )
             if shard is None:
                 continue
             fresh = 0
             for s in shards:
-                fresh |= job.claims.get(s.name, 0) & job.fresh
-            if job.home is not None:
-                job.home.finished(job, shard)
+                fresh |= job.claims.get(s.name, 0) & job.finished_unrecorded
+            if job.durable_state is not None:
+                job.durable_state.write_finished(job, shard)
                 continue
-            fin = job.fin | fresh
+            fin = job.finished | fresh
             # Tasks of a large array end all the time: their numbers are written together, unless
             # nothing of the job is left to run here. Until then the workers keep them.
             more = any(job.claimed(s.name) for s in shards)
@@ -44,7 +48,7 @@
             job.recorded_at = now
             key = JOB + job.id
             changes: list[wire.Put | wire.Drop]
-            if fin == job.every:
+            if fin == job.all_tasks:
                 changes = [
                     wire.Drop(key),
                     wire.Put(OVER + job.id, OverRecord(DONE, job.spec.tasks)),
@@ -59,10 +63,10 @@
 
         def done(result: Result) -> None:
             job.committing = False
-            self.desk.dirty = True
+            self.desk.pass_needed = True
             if result.outcome is Outcome.CONFLICT:
                 job.claim_after = self.desk.now + self.desk.random.uniform(0.05, 0.3)
-                self.sync.want_sync()
+                self.sync.request_sync()
             elif result.outcome is not Outcome.DONE:
                 job.claim_after = self.desk.now + self.desk.random.uniform(0.3, 1.0)
 
@@ -72,19 +76,19 @@
     def gangs(self, now: float) -> None:
         """A gang that lost a task ends as a whole, and starts anew once all of it is gone."""
         workers = self.workers
-        for job in self.backlog.open.values():
+        for job in self.backlog.dirty_jobs.values():
             if not job.gang:
                 continue
-            live = [p for p in job.placed.values() if p.live]
+            live = [p for p in job.placed.values() if p.takes_room]
             if not live:
-                job.failing = False
+                job.gang_stopping = False
                 continue
-            if any(p.halt is not None for p in live) and not job.failing:
+            if any(p.stop_grace_s is not None for p in live) and not job.gang_stopping:
                 # An orderly stop: everybody hears of it with the same grace.
-                grace = max(p.halt or 0.0 for p in live)
+                grace = max(p.stop_grace_s or 0.0 for p in live)
                 for p in live:
-                    if p.halt is None:
-                        workers.halt(p, grace, "gang")
-            elif job.failing:
+                    if p.stop_grace_s is None:
+                        workers.stop_task(p, grace, "gang")
+            elif job.gang_stopping:
                 for p in live:
-                    workers.halt(p, 0.0, "gang")
+                    workers.stop_task(p, 0.0, "gang")
--- a/sagecove/coordination/claims/passes.py
+++ b/sagecove/coordination/claims/scheduling_pass.py
@@ -10,42 +10,56 @@
 from itertools import groupby
 
 from sagecove.coordination.backlog import Backlog
-from sagecove.coordination.claims.competing import Competing
-from sagecove.coordination.claims.ground import Ground
-from sagecove.coordination.claims.making import Making
-from sagecove.coordination.claims.placing import Placing
-from sagecove.coordination.claims.releasing import Releasing
+from sagecove.coordination.claims.claimer import Claimer
+from sagecove.coordination.claims.pass_state import PassState
+from sagecove.coordination.claims.placer import Placer
+from sagecove.coordination.claims.preemptor import Preemptor
+from sagecove.coordination.claims.releaser import Releaser
 from sagecove.coordination.claims.results import Results
+from sagecove.coordination.estimates import Estimates
 from sagecove.coordination.images import Images
-from sagecove.coordination.learning import Learning
+from sagecove.coordination.interfaces import (
+    DrainHints,
+    FailureJudge,
+    MachineCommands,
+    MirrorSync,
+    OwnerContext,
+    ShardQueries,
+)
 from sagecove.coordination.ledger import Ledger
-from sagecove.coordination.limits.limits import Limits
-from sagecove.coordination.model import EPS, JobRun, Machine, Shard, precedence, standing
+from sagecove.coordination.limits.team_limits import TeamLimits
+from sagecove.coordination.model import (
+    ROOM_EPSILON,
+    JobRun,
+    Machine,
+    Shard,
+    fixed_precedence,
+    precedence,
+)
 from sagecove.coordination.placement import (
-    Futile,
-    Room,
-    keep_reserved,
+    NoRoomCache,
+    RoomByMachine,
+    promise_reserved,
 )
-from sagecove.coordination.ports import Desk, Draining, Halting, Judge, Syncing, Territory
-from sagecove.coordination.stopping import Stopping
+from sagecove.coordination.preemption_policy import PreemptionPolicy
 
 
-class Claims:
+class SchedulingPass:
     """Claims and placement for the shards held here."""
 
     def __init__(
         self,
-        desk: Desk,
+        desk: OwnerContext,
         ledger: Ledger,
-        limits: Limits,
+        limits: TeamLimits,
         backlog: Backlog,
-        learning: Learning,
-        failures: Judge,
-        stopping: Stopping,
-        workers: Halting,
-        shards: Territory,
-        sync: Syncing,
-        peers: Draining,
+        learning: Estimates,
+        failures: FailureJudge,
+        stopping: PreemptionPolicy,
+        workers: MachineCommands,
+        shards: ShardQueries,
+        sync: MirrorSync,
+        peers: DrainHints,
         images: Images,
     ) -> None:
         self.desk = desk
@@ -57,19 +71,29 @@
         self.shards = shards
         self.peers = peers
         self.poll_s = desk.settings.poll_s
-        self.ground = Ground(desk, ledger, stopping)
-        self.making = Making(desk, self.ground, ledger, limits, stopping, workers, shards)
-        self.releasing = Releasing(desk, self.ground, sync)
-        self.competing = Competing(
-            *(desk, self.ground, self.making, ledger, limits, backlog, learning, shards, sync),
+        self.pass_state = PassState(desk, ledger, stopping)
+        self.preemptor = Preemptor(desk, self.pass_state, ledger, limits, stopping, workers, shards)
+        self.releaser = Releaser(desk, self.pass_state, sync)
+        self.claimer = Claimer(
+            *(
+                desk,
+                self.pass_state,
+                self.preemptor,
+                ledger,
+                limits,
+                backlog,
+                learning,
+                shards,
+                sync,
+            ),
             images,
         )
-        self.placing = Placing(
+        self.placer = Placer(
             desk,
-            self.ground,
-            self.making,
-            self.releasing,
-            self.competing,
+            self.pass_state,
+            self.preemptor,
+            self.releaser,
+            self.claimer,
             ledger,
             limits,
             workers,
@@ -77,73 +101,73 @@
         )
         self.results = Results(desk, backlog, workers, sync)
         # Jobs that the last pass had to look at.
-        self.open_jobs = 0
+        self.open_job_count = 0
 
     def run(self, now: float) -> None:
         """One pass."""
-        shards = [self.desk.held[s] for s in self.shards.acting_shards(now)]
+        shards = [self.desk.held_shards[s] for s in self.shards.active_shards(now)]
         if not shards:
             return
-        self.releasing.repeat()
+        self.releaser.repeat()
         self.results.record(now, shards)
         self.results.gangs(now)
         ordered = self._open(shards)
         if not ordered and not self.backlog.groups:
             return
         # Looking for tasks to stop is the costly part: not on every pass.
-        self.ground.making = now >= self.ground.make_at
-        if self.ground.making:
-            self.ground.make_at = now + self.ground.poll_s / 4
+        self.pass_state.making = now >= self.pass_state.preempt_after
+        if self.pass_state.making:
+            self.pass_state.preempt_after = now + self.pass_state.poll_s / 4
         for shard in shards:
-            self.making.keep_limit(shard.name)
-            promised: Room = {}
+            self.preemptor.keep_limit(shard.name)
+            promised: RoomByMachine = {}
             # What is full has room for nobody; what may be stopped there is found by its tasks.
-            every = self.ledger.free(shard.name)
+            every = self.ledger.machines_with_room(shard.name)
             # Machines to be returned take no more tasks of arrays.
             steady = [m for m in every if now >= m.drain_until]
-            self.ground.futile = Futile()
-            self.ground.futile_making = Futile()
-            if self.ground.making:
-                self.ground.look_around(shard.name)
-            self.ground.withheld = self.making.withhold(now, shard, every, ordered)
+            self.pass_state.no_room = NoRoomCache()
+            self.pass_state.no_room_by_preemption = NoRoomCache()
+            if self.pass_state.making:
+                self.pass_state.scan_running_jobs(shard.name)
+            self.pass_state.withheld = self.preemptor.withhold(now, shard, every, ordered)
             # DESIGN: fuller machines are preferred while some await their return.
-            draining = now < self.peers.draining.get(shard.name, -1e9)
-            self.ground.packing = draining or any(not m.tasks for m in every)
+            draining = now < self.peers.draining_until.get(shard.name, -1e9)
+            self.pass_state.packing = draining or any(not m.tasks for m in every)
             # One order for what is claimed and what is not: else the room for a claim that is
             # under way would go to whoever comes after it.
-            self.ground.held_back = {}
-            self.ground.held_long = {}
-            self.ground.pledged = 0.0
-            self.ground.asked = {}
-            there = bool(self.desk.by_shard.get(shard.name))
+            self.pass_state.held_back = {}
+            self.pass_state.held_long = {}
+            self.pass_state.pledged = 0.0
+            self.pass_state.asked = {}
+            there = bool(self.desk.machines_by_shard.get(shard.name))
             rested = self._rested(now, shard, every) if there and self.backlog.groups else []
-            self.ground.roomy = roomy(steady, ordered + rested)
+            self.pass_state.array_candidates = roomy(steady, ordered + rested)
             jobs = sorted(ordered + rested, key=precedence) if rested else ordered
-            if there and any(job.home is not None for job in jobs):
+            if there and any(job.durable_state is not None for job in jobs):
                 jobs = self._alike(now, shard, jobs, promised)
-            self.ground.kept.clear()
-            self.competing.note_crowd(jobs)
+            self.pass_state.kept.clear()
+            self.claimer.note_crowd(jobs)
             reserved = [job for job in jobs if job.reserved]
             order: object = None
             for job in jobs:
-                if reserved and standing(job) != order:
-                    order = standing(job)
+                if reserved and fixed_precedence(job) != order:
+                    order = fixed_precedence(job)
                     self._keep(reserved, order, promised)
                 machines = steady if job.array else every
-                self.placing.place(now, shard, machines, job, promised)
+                self.placer.place(now, shard, machines, job, promised)
                 if there:
-                    self.competing.compete(now, shard, machines, job, promised)
+                    self.claimer.compete(now, shard, machines, job, promised)
                 if not job.array and job.unclaimed and job.claiming is None:
-                    self.making.hold_back(now, shard, job)
+                    self.preemptor.hold_back(now, shard, job)
 
-    def _keep(self, jobs: list[JobRun], order: object, promised: Room) -> None:
+    def _keep(self, jobs: list[JobRun], order: object, promised: RoomByMachine) -> None:
         """Room that was made for one job is not there for another of its standing: ten teams that
         claimed their guarantees at once took it from one another, and the last waited until what
         was reserved for it had lapsed."""
         for job in jobs:
-            if standing(job) == order:
-                keep_reserved(promised, job)
-                self.ground.kept.add(job.id)
+            if fixed_precedence(job) == order:
+                promise_reserved(promised, job)
+                self.pass_state.kept.add(job.id)
 
     def _open(self, shards: list[Shard]) -> list[JobRun]:
         """The active jobs that a pass may have to do something for, in order. Most jobs are
@@ -151,30 +175,30 @@
         would cost."""
         names = [shard.name for shard in shards]
         found = []
-        for job in list(self.backlog.open.values()):
+        for job in list(self.backlog.dirty_jobs.values()):
             if self.backlog.through(job, names):
-                del self.backlog.open[job.id]
-                job.lacking_since = None
+                del self.backlog.dirty_jobs[job.id]
+                job.lacks_room_since = None
                 continue
-            if self.failures.suspect(job) and not self._may_probe(job):
+            if self.failures.fails_everywhere(job) and not self._may_probe(job):
                 # Fails wherever it runs: until its next try it costs nobody anything.
                 continue
             if not (
-                len(job.placed) == job.spec.tasks and not job.reserved and not job.stuck_at
+                len(job.placed) == job.spec.tasks and not job.reserved and not job.unplaceable_since
             ) and (
                 job.unclaimed
                 or job.reserved
-                or job.stuck_at
+                or job.unplaceable_since
                 or any(job.placeable(name) for name in names)
             ):
                 if job.array:
-                    self.learning.rank(job)
+                    self.learning.update_rank(job)
                 elif job.service:
-                    self.learning.settle(job)
+                    self.learning.update_avoided_types(job)
                 found.append(job)
             else:
-                job.lacking_since = None
-        self.open_jobs = len(found) + self.backlog.resting
+                job.lacks_room_since = None
+        self.open_job_count = len(found) + self.backlog.resting_count
         found.sort(key=precedence)
         return found
 
@@ -183,22 +207,22 @@
         of which there may be room. Room only shrinks in a pass, so what has none now has none."""
         most = [0.0, 0.0, 0.0]
         for machine in machines:
-            for n, amount in enumerate(machine.free()):
+            for n, amount in enumerate(machine.free_room()):
                 most[n] = max(most[n], amount)
         out: list[JobRun] = []
         for group in self.backlog.groups.values():
-            job = group.any()
+            job = group.any_job()
             spec = job.spec
             fits = (
-                spec.cpus <= most[0] + EPS
-                and spec.gpus <= most[1] + EPS
-                and spec.memory_gb <= most[2] + EPS
+                spec.cpus <= most[0] + ROOM_EPSILON
+                and spec.gpus <= most[1] + ROOM_EPSILON
+                and spec.memory_gb <= most[2] + ROOM_EPSILON
             )
-            if not fits and not (self.ground.making and self.ground.stoppable(job)):
+            if not fits and not (self.pass_state.making and self.pass_state.stoppable(job)):
                 continue
             if self.limits.claimable(shard.name, spec, 1):
                 out += self.backlog.first(group, now)
-            elif self.ground.making and self.limits.obtainable(spec, 1):
+            elif self.pass_state.making and self.limits.claimable_anywhere(spec, 1):
                 # A share of the limit may be all that the first of them lacks.
                 out += self.backlog.first(group, now, 1)
         return out
@@ -206,9 +230,11 @@
     def _may_probe(self, job: JobRun) -> bool:
         """It is time for a job that fails everywhere to be tried once more. Others leave that to
         the controller that has seen it fail."""
-        return job.blamed and self.desk.now >= job.hold_until and not job.placed
+        return job.judged_faulty and self.desk.now >= job.hold_until and not job.placed
 
-    def _alike(self, now: float, shard: Shard, jobs: list[JobRun], promised: Room) -> list[JobRun]:
+    def _alike(
+        self, now: float, shard: Shard, jobs: list[JobRun], promised: RoomByMachine
+    ) -> list[JobRun]:
         """Jobs without records of their own come in hundreds that are alike: those that follow one
         another in the order are planned for together. The jobs that are left to be looked at one
         by one, in order."""
@@ -216,7 +242,7 @@
         for key, run in groupby(jobs, key=self._like(shard.name)):
             members = list(run)
             if key is not None and len(members) > 1:
-                begin = self.placing.place_alike if key[0] else self.competing.claim_alike
+                begin = self.placer.place_alike if key[0] else self.claimer.claim_alike
                 members = begin(now, shard, members, promised)
             left += members
         return left
@@ -226,12 +252,18 @@
 
         def key(job: JobRun) -> tuple[object, ...] | None:
             spec = job.spec
-            if job.home is None or job.placed or job.errors or job.blamed or job.committing:
+            if (
+                job.durable_state is None
+                or job.placed
+                or job.failed_on
+                or job.judged_faulty
+                or job.committing
+            ):
                 return None
             claimed = shard in job.claims
-            if claimed and (job.stuck_at or job.reserved or not job.placeable(shard)):
+            if claimed and (job.unplaceable_since or job.reserved or not job.placeable(shard)):
                 return None
-            if not claimed and job.alike is None:
+            if not claimed and job.group_key is None:
                 return None
             types = tuple(spec.types) if spec.types is not None else None
             return (
@@ -248,12 +280,12 @@
     arrays = [job.spec for job in jobs if job.array]
     if not arrays:
         return machines
-    cpus = min(spec.cpus for spec in arrays) - EPS
-    gpus = min(spec.gpus for spec in arrays) - EPS
-    memory = min(spec.memory_gb for spec in arrays) - EPS
+    cpus = min(spec.cpus for spec in arrays) - ROOM_EPSILON
+    gpus = min(spec.gpus for spec in arrays) - ROOM_EPSILON
+    memory = min(spec.memory_gb for spec in arrays) - ROOM_EPSILON
     out = []
     for machine in machines:
-        free = machine.free()
+        free = machine.free_room()
         if free[0] >= cpus and free[1] >= gpus and free[2] >= memory:
             out.append(machine)
     return out
--- a/sagecove/coordination/effects.py
+++ b/sagecove/coordination/effects.py
@@ -5,18 +5,18 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Asked:
+class IncomingRequest:
     """A request came in, from a user, a worker or a peer."""
 
     method: str
     path: str
     body: bytes
     exchange: Any
-    peer: bool = False
+    from_peer: bool = False
 
 
 @dataclasses.dataclass(slots=True)
-class Answered:
+class CallResult:
     """A call was answered; `status` None means no response, 0 that it was never sent."""
 
     token: int
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Call:
+class OutgoingCall:
     """Send a request to `target`: state, cloud, or the address of a peer or worker."""
 
     token: int
@@ -43,8 +43,8 @@
     method: str
     path: str
     body: Any
-    timeout: float
+    timeout_s: float
 
 
-Command = Asked | Answered
-Effect = Reply | Call
+Command = IncomingRequest | CallResult
+Effect = Reply | OutgoingCall
--- a/sagecove/coordination/learning.py
+++ b/sagecove/coordination/estimates.py
@@ -4,12 +4,12 @@
 
 from collections import deque
 
+from sagecove.coordination.interfaces import EstimatesContext
 from sagecove.coordination.model import JobRun, Machine, Placement
 from sagecove.coordination.placement import (
-    fills_most,
+    fills_most_of_machine,
     type_allowed,
 )
-from sagecove.coordination.ports import Learned
 from sagecove.protocol.cloud import MachineType
 
 # The operators' rule: the largest jobs of a class, too, begin within four minutes. Of arrays that
@@ -19,12 +19,12 @@
 TO_BEGIN = 1
 
 
-class Learning:
+class Estimates:
     """Learned figures."""
 
-    def __init__(self, owner: Learned) -> None:
+    def __init__(self, owner: EstimatesContext) -> None:
         self.owner = owner
-        self.arrivals: dict[str, deque[float]] = {}
+        self.large_job_arrivals: dict[str, deque[float]] = {}
         # When services came.
         self.services: deque[float] = deque(maxlen=8)
         self.class_dues: dict[str, list[tuple[bool, float]]] = {}
@@ -32,20 +32,20 @@
         # Seconds that machines of a type took lately from their rental to their first report.
         self.boots: dict[str, deque[float]] = {}
 
-    def note_arrival(self, job: JobRun) -> None:
+    def note_arrival_time(self, job: JobRun) -> None:
         """Remember when jobs came whose task takes most of a machine."""
         if job.array:
             return
         if job.service:
             self.services.append(self.owner.now)
-        fitting = [t for t in self.owner.types.values() if type_allowed(job.spec, t)]
+        fitting = [t for t in self.owner.machine_types.values() if type_allowed(job.spec, t)]
         if not fitting:
             return
         kind = min(fitting, key=lambda t: t.price)
-        if fills_most(job.spec, kind):
-            self.arrivals.setdefault(kind.name, deque(maxlen=8)).append(self.owner.now)
+        if fills_most_of_machine(job.spec, kind):
+            self.large_job_arrivals.setdefault(kind.name, deque(maxlen=8)).append(self.owner.now)
 
-    def services_expected(self, patience: float) -> bool:
+    def service_expected(self, patience: float) -> bool:
         """Services come often enough for one to be on its way: the last is not longer ago than a
         few gaps between them, or than some patience (seconds)."""
         if not self.services:
@@ -53,7 +53,7 @@
         gap = (self.owner.now - self.services[0]) / len(self.services)
         return self.owner.now - self.services[-1] < min(2.5 * gap, patience)
 
-    def learned(self, placement: Placement) -> None:
+    def note_run_time(self, placement: Placement) -> None:
         """A task completed: owners' estimates are wrong, so learn by how much, per class."""
         job = placement.job
         if job is None or job.spec.estimate_s <= 0 or not placement.running_at:
@@ -62,16 +62,16 @@
         old = self.class_run.get(job.spec.klass, 1.0)
         self.class_run[job.spec.klass] = old + 0.05 * (ratio - old)
 
-    def came_up(self, machine: Machine) -> None:
+    def note_boot_time(self, machine: Machine) -> None:
         """A machine has reported for the first time: learn how long that takes."""
         took = self.owner.wall() - machine.record.at
-        shard = self.owner.held.get(machine.record.shard)
-        if shard is None or self.owner.now - took < shard.since:
+        shard = self.owner.held_shards.get(machine.record.shard)
+        if shard is None or self.owner.now - took < shard.held_since:
             # Rented before this holder's time: it may have reported to another.
             return
         self.boots.setdefault(machine.record.type, deque(maxlen=16)).append(took)
 
-    def boot_most_s(self, kind: MachineType) -> float:
+    def boot_timeout_s(self, kind: MachineType) -> float:
         """A machine that takes longer than this never comes up: twice the slowest seen lately.
         Before enough have been seen, several times the nominal time, as PROTOCOL has it."""
         most = 5 * kind.boot_s + 30.0
@@ -80,13 +80,13 @@
             most = min(most, max(2.5 * kind.boot_s, 2 * max(seen)))
         return most
 
-    def expected(self, job: JobRun) -> float:
+    def expected_run_s(self, job: JobRun) -> float:
         """Expected run time of a task, its image included."""
-        kind = next(iter(self.owner.types.values()), None)
+        kind = next(iter(self.owner.machine_types.values()), None)
         fetch = job.spec.image_gb / kind.fetch_gb_per_s if kind and kind.fetch_gb_per_s else 0.0
         return job.spec.estimate_s * self.class_run.get(job.spec.klass, 1.0) + 0.5 * fetch
 
-    def dues(self, job: JobRun) -> list[float]:
+    def target_ages_s(self, job: JobRun) -> list[float]:
         """The ages by which a job's class is expected to be through, from the settings."""
         known = self.class_dues.get(job.spec.klass)
         if known is None:
@@ -105,54 +105,57 @@
             value * (deadline or 300.0) if relative else value for relative, value in known
         ) or [300.0]
 
-    def rank(self, job: JobRun) -> None:
+    def update_rank(self, job: JobRun) -> None:
         """Order among arrays of equal standing. When there is more work than machines, serving in
         order of age makes everybody late; so what can still be in time goes first, the least work
         first, and what cannot goes after it. Beyond guarantees teams come first that borrow less
         for the size of theirs. Not for ever: what is twice overdue goes before both, or a large
         job waited without end behind a stream of smaller ones."""
-        age = self.owner.wall() - job.at
-        run = self.expected(job)
-        dues = self.dues(job)
+        age = self.owner.wall() - job.submitted_at
+        run = self.expected_run_s(job)
+        dues = self.target_ages_s(job)
         if age > 2 * dues[-1]:
-            job.order = (-1, 0, job.at)
+            job.array_rank = (-1, 0, job.submitted_at)
             return
         if age > min(BEGIN_S, dues[-1]) / 2 and self._not_begun(job):
             # With one task: see `Competing`.
-            job.order = (-1, TO_BEGIN, job.at)
+            job.array_rank = (-1, TO_BEGIN, job.submitted_at)
             return
         feasible = any(age + run <= due for due in dues)
         work = job.unfinished.bit_count() * run * max(job.spec.cpus, 0.1)
-        level = 0 if job.within else self.owner.standing.level(job.spec.team)
-        job.order = (0, level, work) if feasible else (1, level, job.at)
+        level = (
+            0 if job.within_guarantee else self.owner.claim_totals.borrowing_level(job.spec.team)
+        )
+        job.array_rank = (0, level, work) if feasible else (1, level, job.submitted_at)
 
     def _not_begun(self, job: JobRun) -> bool:
         """Nothing of an array has started, as far as is known here."""
         return (
-            not (job.fin or job.fresh or job.placed) and job.claims.keys() <= self.owner.held.keys()
+            not (job.finished or job.finished_unrecorded or job.placed)
+            and job.claims.keys() <= self.owner.held_shards.keys()
         )
 
-    def settle(self, job: JobRun) -> None:
+    def update_avoided_types(self, job: JobRun) -> None:
         """Where a service may go: not on machines with GPUs if others suit it, since it would keep
         them from the jobs that need them, for good, or keep a dear machine from its return. If it
         lacks room for a moment, those that no gang asks for will do; if it does for long, any."""
-        if not job.unclaimed and not any(job.placeable(shard) for shard in self.owner.held):
-            job.lacking_since = None
-        elif job.lacking_since is None:
-            job.lacking_since = self.owner.now
-        job.off = frozenset()
+        if not job.unclaimed and not any(job.placeable(shard) for shard in self.owner.held_shards):
+            job.lacks_room_since = None
+        elif job.lacks_room_since is None:
+            job.lacks_room_since = self.owner.now
+        job.avoided_types = frozenset()
         spec = job.spec
-        waited = self.owner.now - job.lacking_since if job.lacking_since is not None else 0.0
+        waited = self.owner.now - job.lacks_room_since if job.lacks_room_since is not None else 0.0
         if spec.gpus > 0 or waited > 10.0:
             return
-        fitting = [t for t in self.owner.types.values() if type_allowed(spec, t)]
+        fitting = [t for t in self.owner.machine_types.values() if type_allowed(spec, t)]
         gpus = {t.name for t in fitting if t.gpus > 0}
         if len(gpus) < len(fitting):
             if waited > self.owner.settings.poll_s / 2:
-                gpus &= self.arrivals.keys()
-            job.off = frozenset(gpus)
+                gpus &= self.large_job_arrivals.keys()
+            job.avoided_types = frozenset(gpus)
 
-    def finish_within(self, job: JobRun) -> float:
+    def finish_within_s(self, job: JobRun) -> float:
         """How long a job may take from its submission, by its deadline or its class's aims."""
         if job.spec.deadline_s is not None:
             return job.spec.deadline_s
--- a/sagecove/coordination/explain.py
+++ b/sagecove/coordination/explain.py
@@ -9,13 +9,19 @@
 from typing import Protocol
 
 from sagecove.config import UNLIMITED
-from sagecove.coordination.claims.making import long_wait_s
-from sagecove.coordination.limits.limits import Limits
-from sagecove.coordination.limits.records import Amount
-from sagecove.coordination.model import PARTS, JobRun, Machine, parts, precedence
+from sagecove.coordination.claims.preemptor import gang_long_wait_s
+from sagecove.coordination.interfaces import FailureJudge, OwnerContext
+from sagecove.coordination.limits.records import ResourceAmount
+from sagecove.coordination.limits.team_limits import TeamLimits
+from sagecove.coordination.model import (
+    MILLIONTHS_PER_UNIT,
+    JobRun,
+    Machine,
+    precedence,
+    to_millionths,
+)
 from sagecove.coordination.placement import type_allowed
-from sagecove.coordination.ports import Desk, Judge
-from sagecove.coordination.stopping import Stopping
+from sagecove.coordination.preemption_policy import PreemptionPolicy
 from sagecove.protocol import workers as w
 from sagecove.protocol.views import Cluster, Explanation, MachineView, ShardView, TeamView
 from sagecove.storage.mirror import Mirror
@@ -28,10 +34,10 @@
     def holder_of(self, shard: str) -> str | None:
         """The node that holds a shard, as far as is known."""
 
-    def home(self, job: JobRun) -> str:
+    def home_shard(self, job: JobRun) -> str:
         """The shard that a gang is served in which fits nowhere yet."""
 
-    def could_hold(self, job: JobRun) -> bool:
+    def fleet_can_hold(self, job: JobRun) -> bool:
         """The fleet as it is, were it empty, has room for all tasks of a job."""
 
 
@@ -41,7 +47,7 @@
     def running_elsewhere(self, job_id: str) -> int:
         """Running tasks of a job on other controllers' machines."""
 
-    def arrival(self, machine: Machine) -> str:
+    def boot_status(self, machine: Machine) -> str:
         """Whether a machine is `up`, `coming` or `overdue`."""
 
 
@@ -52,15 +58,15 @@
         """It answers."""
 
 
-class Known(Desk, Protocol):
+class Known(OwnerContext, Protocol):
     """What is known here, to be told."""
 
     mirror: Mirror
-    limits: Limits
-    stopping: Stopping
+    limits: TeamLimits
+    preemption_policy: PreemptionPolicy
 
     @property
-    def failures(self) -> Judge:
+    def failures(self) -> FailureJudge:
         """Who is to blame for errors."""
 
     @property
@@ -76,7 +82,7 @@
         """The state service as seen from here."""
 
 
-def explain(owner: Known, job: JobRun) -> Explanation:
+def explain_job(owner: Known, job: JobRun) -> Explanation:
     """Why a job waits."""
     running = sum(p.state == w.TASK_RUNNING for p in job.placed.values())
     return Explanation(
@@ -85,10 +91,10 @@
         job.spec.kind,
         job.spec.priority,
         job.spec.tasks,
-        (job.fin | job.fresh).bit_count(),
+        (job.finished | job.finished_unrecorded).bit_count(),
         running + owner.peers.running_elsewhere(job.id),
-        job.within,
-        owner.failures.suspect(job),
+        job.within_guarantee,
+        owner.failures.fails_everywhere(job),
         {shard: n for shard in job.claims if (n := job.claimed(shard).bit_count())},
         _reasons(owner, job),
         owner.settings.node,
@@ -97,24 +103,24 @@
 
 def _reasons(owner: Known, job: JobRun) -> list[str]:
     out: list[str] = []
-    if owner.failures.suspect(job):
+    if owner.failures.fails_everywhere(job):
         pause = max(0.0, job.hold_until - owner.now)
         out.append(
-            f"its tasks fail on every machine (seen on {len(job.errors)});"
+            f"its tasks fail on every machine (seen on {len(job.failed_on)});"
             f" next try in {pause:.0f} s"
         )
     for shard in job.claims:
         claimed = job.claimed(shard).bit_count()
         if not claimed:
             continue
-        if shard not in owner.held:
+        if shard not in owner.held_shards:
             holder = owner.shards.holder_of(shard)
             if holder is None:
                 out.append(f"{claimed} tasks: shard {shard} has no holder at the moment")
             else:
                 out.append(f"{claimed} tasks are with {holder}, which can tell more")
             continue
-        if limbo := job.limbo.get(shard, 0):
+        if limbo := job.possibly_running.get(shard, 0):
             out.append(
                 f"{limbo.bit_count()} tasks wait until machines of shard {shard} have reported to"
                 " their new holder"
@@ -128,11 +134,11 @@
         out.append(f"{count} tasks wait for their image")
     if count := states.count(w.WAITING):
         out.append(f"{count} tasks wait until the whole gang has its images")
-    stopped = {p.for_whom for p in job.placed.values() if p.halt is not None}
+    stopped = {p.stopped_for for p in job.placed.values() if p.stop_grace_s is not None}
     out += [f"tasks are being stopped for {whom}" for whom in sorted(stopped)]
     if job.unclaimed:
         out += _unclaimed(owner, job)
-    if job.within:
+    if job.within_guarantee:
         out += _owed(owner, job)
     return out
 
@@ -143,36 +149,36 @@
     count = job.unclaimed.bit_count() + sum(
         (job.claimed(shard) & ~job.placed_bits).bit_count()
         for shard in job.claims
-        if shard in owner.held
+        if shard in owner.held_shards
     )
     if not count:
         return []
-    lack = count * parts(spec.cpus), count * parts(spec.gpus)
-    sources = owner.limits.standing.sources(spec.team, lack)
+    lack = count * to_millionths(spec.cpus), count * to_millionths(spec.gpus)
+    sources = owner.limits.standing.reclaim_sources(spec.team, lack)
     if not sources:
         return [f"{count} tasks are owed to team {spec.team}; nobody borrows what they need"]
-    left = max(0.0, owner.stopping.guarantee_s - (owner.wall() - job.at))
+    left = max(0.0, owner.preemption_policy.guarantee_wait_s - (owner.wall() - job.submitted_at))
     whom = ", ".join(f"{name} ({_told(amount)})" for name, amount in sorted(sources.items()))
     when = f"after {left:.1f} s" if left else "from now on"
     return [f"{count} tasks are owed to team {spec.team}: {when} room is made by stopping {whom}"]
 
 
-def _told(amount: Amount) -> str:
+def _told(amount: ResourceAmount) -> str:
     units = zip(amount, ("CPUs", "GPUs"), strict=True)
-    return ", ".join(f"{have / PARTS:g} {unit}" for have, unit in units if have)
+    return ", ".join(f"{have / MILLIONTHS_PER_UNIT:g} {unit}" for have, unit in units if have)
 
 
 def _unclaimed(owner: Known, job: JobRun) -> list[str]:
     spec = job.spec
     out = []
     count = job.unclaimed.bit_count()
-    need = count if job.whole else 1
-    spare = owner.limits.left(spec.team)
+    need = count if job.claimed_whole else 1
+    spare = owner.limits.unclaimed(spec.team)
     if need * spec.cpus > spare[0] or need * spec.gpus > spare[1]:
         out.append(f"{count} tasks wait for team {spec.team}'s limit")
-    fitting = {t.name for t in owner.types.values() if type_allowed(spec, t)}
+    fitting = {t.name for t in owner.machine_types.values() if type_allowed(spec, t)}
     coming = sum(
-        m.record.type in fitting and not m.record.leaving and owner.peers.arrival(m) == "coming"
+        m.record.type in fitting and not m.record.leaving and owner.peers.boot_status(m) == "coming"
         for m in owner.machines.values()
     )
     mine = precedence(job)
@@ -181,9 +187,9 @@
         for j in owner.jobs.values()
         if j is not job
         and j.unclaimed
-        and not owner.failures.suspect(j)
+        and not owner.failures.fails_everywhere(j)
         and precedence(j) < mine
-        and any(type_allowed(j.spec, t) for t in owner.types.values() if t.name in fitting)
+        and any(type_allowed(j.spec, t) for t in owner.machine_types.values() if t.name in fitting)
     ]
     text = f"{count} tasks wait for room on machines of type {', '.join(sorted(fitting)) or '-'}"
     if coming:
@@ -199,30 +205,30 @@
 
 def _whole(owner: Known, job: JobRun) -> str:
     """From when on room is kept for a gang, or why it is not."""
-    if not owner.shards.could_hold(job):
+    if not owner.shards.fleet_can_hold(job):
         where = "in one zone " if job.spec.one_zone else ""
         return f"the machines there are could not hold all {job.spec.tasks} tasks {where}at once"
-    left = job.seen_at + long_wait_s(owner.types.values()) - owner.now
+    left = job.first_seen_at + gang_long_wait_s(owner.machine_types.values()) - owner.now
     when = f"in {left:.0f} s" if left > 0 else "from now on"
-    return f"{when} what comes free in shard {owner.shards.home(job)} waits for it"
+    return f"{when} what comes free in shard {owner.shards.home_shard(job)} waits for it"
 
 
 def _rule(first: JobRun, job: JobRun) -> str:
     """By which rule one job comes before another."""
     if (first.priority == 3) != (job.priority == 3):
         return "it is a production job"
-    if first.within != job.within:
+    if first.within_guarantee != job.within_guarantee:
         return "it is within its team's guarantee"
     if first.priority != job.priority:
         return f"its priority is {first.spec.priority}"
-    if first.order != job.order:
-        if first.order[0] == job.order[0] and first.order[1] != job.order[1]:
+    if first.array_rank != job.array_rank:
+        if first.array_rank[0] == job.array_rank[0] and first.array_rank[1] != job.array_rank[1]:
             return "its team borrows less for the size of its guarantee"
         return "it can still be in time with less work left"
     return "it is older"
 
 
-def cluster(owner: Known) -> Cluster:
+def cluster_view(owner: Known) -> Cluster:
     """Members, shards and their holders, teams against guarantee and limit, machines in trouble."""
     settings = owner.settings
     now = owner.now
@@ -230,14 +236,14 @@
     role = items.get(PROVISIONER)
     shards = []
     for name in sorted(settings.nodes):
-        held = owner.held.get(name)
+        held = owner.held_shards.get(name)
         shards.append(
             ShardView(
                 name,
                 owner.shards.holder_of(name),
                 owner.mirror.stamp(HOLDER + name),
-                len(owner.by_shard.get(name, {})),
-                round(now - held.since, 1) if held is not None else None,
+                len(owner.machines_by_shard.get(name, {})),
+                round(now - held.held_since, 1) if held is not None else None,
             )
         )
     troubled = []
@@ -245,9 +251,9 @@
         state = ""
         if machine.record.leaving:
             state = f"leaving: {machine.record.leaving}"
-        elif machine.sick:
+        elif machine.faulty:
             state = "faulty"
-        elif owner.peers.arrival(machine) == "overdue":
+        elif owner.peers.boot_status(machine) == "overdue":
             state = "late"
         if state:
             record = machine.record
@@ -263,7 +269,7 @@
         shards,
         _teams(owner),
         sorted(troubled, key=lambda m: m.name)[:200],
-        sorted(j.id for j in owner.jobs.values() if owner.failures.suspect(j))[:200],
+        sorted(j.id for j in owner.jobs.values() if owner.failures.fails_everywhere(j))[:200],
     )
 
 
@@ -272,7 +278,7 @@
     owed: dict[str, list[float]] = {}
     for job in owner.jobs.values():
         waiting = job.unclaimed.bit_count()
-        if job.within:
+        if job.within_guarantee:
             lacking = owed.setdefault(job.spec.team, [0.0, 0.0])
             lacking[0] += waiting * job.spec.cpus
             lacking[1] += waiting * job.spec.gpus
@@ -285,7 +291,9 @@
     for team in owner.settings.params.teams:
         cpus, gpus, tasks = used.get(team.name, (0.0, 0.0, 0.0))
         lacks = owed.get(team.name, (0.0, 0.0))
-        entitled = [amount / PARTS for amount in owner.limits.standing.entitled(team)]
+        entitled = [
+            amount / MILLIONTHS_PER_UNIT for amount in owner.limits.standing.entitlement(team)
+        ]
         out.append(
             TeamView(
                 team.name,
--- a/sagecove/coordination/failures.py
+++ b/sagecove/coordination/failures.py
@@ -9,8 +9,8 @@
 
 import logging
 
+from sagecove.coordination.interfaces import BaseContext
 from sagecove.coordination.model import JobRun, Machine, Placement
-from sagecove.coordination.ports import Clock
 
 log = logging.getLogger("sagecove.failures")
 
@@ -18,10 +18,10 @@
 OPINIONS = 3
 
 
-class Failures:
+class FailureTracker:
     """Judges machines and jobs."""
 
-    def __init__(self, owner: Clock) -> None:
+    def __init__(self, owner: BaseContext) -> None:
         self.owner = owner
         pace = owner.settings.params.workers
         # Pauses between single tries of a job that fails everywhere: they double up to the most.
@@ -30,51 +30,53 @@
         # Machines that are to be returned for their failures, from a moment on.
         self.condemned: dict[str, Machine] = {}
 
-    def suspect(self, job: JobRun) -> bool:
+    def fails_everywhere(self, job: JobRun) -> bool:
         """The job fails everywhere, as far as this controller has seen or a peer has told."""
-        return job.blamed or (not proven(job) and self.owner.now - job.blamed_elsewhere_at < 5.0)
+        return job.judged_faulty or (
+            not proven(job) and self.owner.now - job.peer_judged_faulty_at < 5.0
+        )
 
     def completed(self, machine: Machine, job: JobRun) -> None:
         """A task has completed: neither is at fault."""
-        machine.errors.clear()
-        if job.blamed:
+        machine.failures_by_job.clear()
+        if job.judged_faulty:
             log.info("job no longer fails job=%s", job.id)
-            job.blamed = False
+            job.judged_faulty = False
             job.hold_until = self.owner.now
-        job.errors = frozenset()
-        job.rounds = job.probes = 0
+        job.failed_on = frozenset()
+        job.failed_round_count = job.probe_count = 0
 
     def failed(self, placement: Placement) -> None:
         """A task has ended with an error."""
         now = self.owner.now
         machine, job = placement.machine, placement.job
         assert job is not None
-        job.errors |= {machine.name}
-        if placement.started_at > job.failed_at:
+        job.failed_on |= {machine.name}
+        if placement.started_at > job.last_failed_at:
             # Tasks started together that fail together are one try.
-            job.rounds += 1
-            job.failed_at = now
+            job.failed_round_count += 1
+            job.last_failed_at = now
         if proven(job):
             # It runs elsewhere, so the fault is here; its other tasks need not wait.
-            machine.errors[job.id] = machine.errors.get(job.id, 0) + 1
-        elif not job.blamed and max(len(job.errors), job.rounds) < OPINIONS:
-            machine.errors[job.id] = machine.errors.get(job.id, 0) + 1
-            job.hold_until = max(job.hold_until, now + self.pause_s * job.rounds / 6)
-        elif not job.blamed or now >= job.hold_until:
+            machine.failures_by_job[job.id] = machine.failures_by_job.get(job.id, 0) + 1
+        elif not job.judged_faulty and max(len(job.failed_on), job.failed_round_count) < OPINIONS:
+            machine.failures_by_job[job.id] = machine.failures_by_job.get(job.id, 0) + 1
+            job.hold_until = max(job.hold_until, now + self.pause_s * job.failed_round_count / 6)
+        elif not job.judged_faulty or now >= job.hold_until:
             self._blame(job, now)
         self._judge(machine)
 
     def _blame(self, job: JobRun, now: float) -> None:
-        if not job.blamed:
-            job.blamed = True
-            log.info("job fails everywhere job=%s machines=%d", job.id, len(job.errors))
-        job.hold_until = now + min(self.pause_most_s, self.pause_s * 2.0**job.probes)
-        job.probes = min(job.probes + 1, 16)
+        if not job.judged_faulty:
+            job.judged_faulty = True
+            log.info("job fails everywhere job=%s machines=%d", job.id, len(job.failed_on))
+        job.hold_until = now + min(self.pause_most_s, self.pause_s * 2.0**job.probe_count)
+        job.probe_count = min(job.probe_count + 1, 16)
         job.reserved.clear()
         # The machines are not to blame for it.
-        for name in job.errors:
+        for name in job.failed_on:
             machine = self.owner.machines.get(name)
-            if machine is not None and machine.errors.pop(job.id, None) is not None:
+            if machine is not None and machine.failures_by_job.pop(job.id, None) is not None:
                 self._judge(machine)
 
     def _judge(self, machine: Machine) -> None:
@@ -82,31 +84,33 @@
         and on no other. Of these it takes no more tasks, but stays until their second opinions
         can be in: they may turn out to fail everywhere."""
         sure = only_here = 0
-        for job_id, count in list(machine.errors.items()):
+        for job_id, count in list(machine.failures_by_job.items()):
             job = self.owner.jobs.get(job_id)
             if job is None:
                 only_here += 1
-            elif proven(job) or (job.gang and len(job.errors) == 1 and job.spec.tasks > 1):
+            elif proven(job) or (job.gang and len(job.failed_on) == 1 and job.spec.tasks > 1):
                 # The other tasks of a gang have run, or it would not have been complete.
                 sure += count
-            elif len(job.errors) == 1:
+            elif len(job.failed_on) == 1:
                 only_here += 1
         sick = sure >= 2 or only_here >= 2
-        if sick and not machine.sick:
+        if sick and not machine.faulty:
             log.info(
-                "machine fails its tasks machine=%s jobs=%d", machine.name, len(machine.errors)
+                "machine fails its tasks machine=%s jobs=%d",
+                machine.name,
+                len(machine.failures_by_job),
             )
         if not sick:
-            machine.condemned_at = None
+            machine.return_due_at = None
         elif sure >= 2:
-            machine.condemned_at = self.owner.now
-        elif not machine.sick:
-            machine.condemned_at = self.owner.now + 2 * self.pause_s
+            machine.return_due_at = self.owner.now
+        elif not machine.faulty:
+            machine.return_due_at = self.owner.now + 2 * self.pause_s
         if sick:
             self.condemned[machine.name] = machine
-        machine.sick = sick
+        machine.faulty = sick
 
 
 def proven(job: JobRun) -> bool:
     """Tasks of the job have completed: it is no mistake."""
-    return bool(job.fin | job.fresh)
+    return bool(job.finished | job.finished_unrecorded)
--- a/sagecove/coordination/handover/calls.py
+++ b/sagecove/coordination/handover/room_requests.py
@@ -15,13 +15,13 @@
 import msgspec
 
 from sagecove.coordination.backlog import Backlog
+from sagecove.coordination.interfaces import TICK_S, MirrorSync, OwnerContext, ShardQueries
 from sagecove.coordination.ledger import Ledger
-from sagecove.coordination.limits.limits import Limits
+from sagecove.coordination.limits.team_limits import TeamLimits
 from sagecove.coordination.model import JobRun, Machine, Shard, precedence
-from sagecove.coordination.placement import slots, suits
-from sagecove.coordination.ports import TICK_S, Desk, Syncing, Territory
+from sagecove.coordination.placement import machine_suits, tasks_fitting
 from sagecove.protocol import state as wire
-from sagecove.protocol.peers import RoomCall
+from sagecove.protocol.peers import RoomRequest
 from sagecove.storage.records import HOLDER, MACHINE
 from sagecove.storage.store import Outcome, Result
 
@@ -32,17 +32,17 @@
 IDLE_POLLS = 1.0
 
 
-class Calls:
+class RoomRequests:
     """Calls for room, and what is given to them."""
 
     def __init__(
         self,
-        desk: Desk,
+        desk: OwnerContext,
         ledger: Ledger,
-        limits: Limits,
+        limits: TeamLimits,
         backlog: Backlog,
-        shards: Territory,
-        sync: Syncing,
+        shards: ShardQueries,
+        sync: MirrorSync,
     ) -> None:
         self.desk = desk
         self.ledger = ledger
@@ -53,7 +53,7 @@
         self.poll_s = desk.settings.poll_s
         self.looked_at = -1e9
         # Calls of shards held here, for the next hint.
-        self.mine: list[RoomCall] = []
+        self.mine: list[RoomRequest] = []
         # Moves whose outcome is in doubt: by machine, the shard that gives and where to.
         self.doubts: dict[str, tuple[Shard, str]] = {}
 
@@ -62,57 +62,61 @@
         if now - self.looked_at < 4 * TICK_S:
             return
         self.looked_at = now
-        acting = set(self.shards.acting_shards(now))
+        acting = set(self.shards.active_shards(now))
         self.mine = []
-        for job in self.backlog.open.values():
-            if not job.gang or job.placed or job.blamed or not job.unclaimed or job.claims:
+        for job in self.backlog.dirty_jobs.values():
+            if not job.gang or job.placed or job.judged_faulty or not job.unclaimed or job.claims:
                 continue
-            if now - job.seen_at < PATIENCE_POLLS * self.poll_s:
+            if now - job.first_seen_at < PATIENCE_POLLS * self.poll_s:
                 continue
-            home = self.shards.home(job)
+            home = self.shards.home_shard(job)
             if home in acting and (call := self._call(job, home)) is not None:
                 self.mine.append(call)
         doubts, self.doubts = self.doubts, {}
         for name, (shard, to) in doubts.items():
             machine = self.desk.machines.get(name)
-            if machine is not None and machine.handing and self.desk.held.get(shard.name) is shard:
+            if (
+                machine is not None
+                and machine.handing_over
+                and self.desk.held_shards.get(shard.name) is shard
+            ):
                 self._move(machine, shard, to, doubtful=True)
         for call in self.mine:
             # Another shard that is held here gives as well.
             self.called(now, call)
 
-    def _call(self, job: JobRun, home: str) -> RoomCall | None:
+    def _call(self, job: JobRun, home: str) -> RoomRequest | None:
         spec = job.spec
-        if spec.spread or self.limits.obtainable(spec, spec.tasks) < spec.tasks:
+        if spec.spread or self.limits.claimable_anywhere(spec, spec.tasks) < spec.tasks:
             return None
         rooms: Counter[str] = Counter()
-        for machine in self.ledger.free(home):
-            if suits(job, machine):
-                rooms[machine.record.zone] += slots(spec, machine.free())
+        for machine in self.ledger.machines_with_room(home):
+            if machine_suits(job, machine):
+                rooms[machine.record.zone] += tasks_fitting(spec, machine.free_room())
         if not spec.one_zone:
             lacking = spec.tasks - rooms.total()
-            return RoomCall(job.id, home, "", lacking) if lacking > 0 else None
+            return RoomRequest(job.id, home, "", lacking) if lacking > 0 else None
         zone, found = max(sorted(rooms.items()), key=lambda r: r[1], default=("", 0))
         if not zone or found >= spec.tasks:
             return None
-        return RoomCall(job.id, home, zone, spec.tasks - found)
+        return RoomRequest(job.id, home, zone, spec.tasks - found)
 
-    def called(self, now: float, call: RoomCall) -> None:
+    def called(self, now: float, call: RoomRequest) -> None:
         """A shard calls for room: give this controller's part of it, if machines are idle here."""
         job = self.desk.jobs.get(call.job)
         if job is None or not job.unclaimed or call.shard not in self.desk.settings.nodes:
             return
         others = max(1, len(self.desk.settings.nodes) - 1)
-        for name in self.shards.acting_shards(now):
+        for name in self.shards.active_shards(now):
             if name == call.shard:
                 continue
             lacking = -(-call.tasks // others)
             for machine in self._idle(now, job, name, call.zone):
                 if lacking <= 0:
                     break
-                lacking -= slots(job.spec, machine.free())
+                lacking -= tasks_fitting(job.spec, machine.free_room())
                 log.info("hand over machine=%s to=%s job=%s", machine.name, call.shard, job.id)
-                self._move(machine, self.desk.held[name], call.shard)
+                self._move(machine, self.desk.held_shards[name], call.shard)
 
     def _idle(self, now: float, job: JobRun, shard: str, zone: str) -> list[Machine]:
         # Or two gangs of different homes would draw the same machines to and fro.
@@ -125,14 +129,14 @@
         ]
         return [
             m
-            for m in self.desk.by_shard.get(shard, {}).values()
+            for m in self.desk.machines_by_shard.get(shard, {}).values()
             if m.empty
-            and m.open
+            and m.accepts_tasks
             and not m.committing
             and now - m.idle_since > IDLE_POLLS * self.poll_s
-            and suits(job, m)
-            and slots(job.spec, m.free()) > 0
-            and not any(suits(own, m) for own in mine)
+            and machine_suits(job, m)
+            and tasks_fitting(job.spec, m.free_room()) > 0
+            and not any(machine_suits(own, m) for own in mine)
             and (not zone or m.record.zone == zone)
         ]
 
@@ -140,7 +144,7 @@
         """Write the machine's new shard. From here on nothing is started on it: the transaction may
         be executed long after it was sent. `doubtful`: an earlier copy got no answer, of which it
         says nothing that this one is refused."""
-        machine.handing = True
+        machine.handing_over = True
         record = msgspec.structs.replace(machine.record, shard=to)
         stamp = machine.stamp
 
@@ -153,9 +157,9 @@
                 self.doubts[machine.name] = shard, to
             elif result.outcome is Outcome.CONFLICT:
                 # The record is another, or the term is over: either will be seen.
-                self.sync.want_sync()
+                self.sync.request_sync()
             else:
-                machine.handing = False
+                machine.handing_over = False
 
         key = MACHINE + machine.name
         conditions = [(key, stamp), (HOLDER + shard.name, shard.term)]
--- a/sagecove/coordination/images.py
+++ b/sagecove/coordination/images.py
@@ -8,10 +8,16 @@
 
 from collections.abc import Iterable
 
+from sagecove.coordination.interfaces import OwnerContext
 from sagecove.coordination.ledger import Ledger
-from sagecove.coordination.model import EPS, JobRun, Machine
-from sagecove.coordination.placement import Room, room_of, slots, suits, type_allowed
-from sagecove.coordination.ports import Desk
+from sagecove.coordination.model import ROOM_EPSILON, JobRun, Machine
+from sagecove.coordination.placement import (
+    RoomByMachine,
+    machine_suits,
+    tasks_fitting,
+    type_allowed,
+    unpromised_room,
+)
 from sagecove.protocol.peers import Warm
 from sagecove.protocol.users import Job
 
@@ -26,11 +32,11 @@
     goes, and what its tasks use."""
     machine.images.pop(spec.image, None)
     machine.images[spec.image] = spec.image_gb
-    most = machine.kind.cache_gb if machine.kind is not None else 0.0
+    most = machine.machine_type.cache_gb if machine.machine_type is not None else 0.0
     held = sum(machine.images.values())
     if held <= most:
         return
-    busy = {p.job.spec.image for p in machine.tasks.values() if p.live and p.job is not None}
+    busy = {p.job.spec.image for p in machine.tasks.values() if p.takes_room and p.job is not None}
     for image in [i for i in machine.images if i not in busy and i != spec.image]:
         if held <= most:
             break
@@ -40,7 +46,7 @@
 class Images:
     """Room beside images: on machines of shards held here, and as others tell."""
 
-    def __init__(self, desk: Desk, ledger: Ledger) -> None:
+    def __init__(self, desk: OwnerContext, ledger: Ledger) -> None:
         self.desk = desk
         self.ledger = ledger
         self.poll_s = desk.settings.poll_s
@@ -51,21 +57,21 @@
         """How long a machine takes to fetch a job's image, by itself (seconds)."""
         rates = [
             t.fetch_gb_per_s
-            for t in self.desk.types.values()
+            for t in self.desk.machine_types.values()
             if t.fetch_gb_per_s > 0 and type_allowed(spec, t)
         ]
         return spec.image_gb / max(rates) if rates else 0.0
 
-    def here(self) -> list[Warm]:
+    def free_room_by_image(self) -> list[Warm]:
         """Free room of shards held here by image, zone and kind, to be told to peers. Images that
         are fetched within a poll are left out."""
         found: dict[tuple[str, str, bool], list[float]] = {}
-        for shard in self.desk.held:
-            for machine in self.ledger.free(shard):
-                kind, record = machine.kind, machine.record
+        for shard in self.desk.held_shards:
+            for machine in self.ledger.machines_with_room(shard):
+                kind, record = machine.machine_type, machine.record
                 if kind is None:
                     continue
-                cpus, gpus, _ = machine.free()
+                cpus, gpus, _ = machine.free_room()
                 least = self.poll_s * kind.fetch_gb_per_s
                 for image, size in machine.images.items():
                     if size >= least:
@@ -74,7 +80,7 @@
                         room[1] += gpus
         return [Warm(*key, round(cpus, 3), gpus) for key, (cpus, gpus) in found.items()]
 
-    def heard(self, now: float, node: str, warm: list[Warm]) -> None:
+    def update_peer(self, now: float, node: str, warm: list[Warm]) -> None:
         """All that a peer has free beside images."""
         self.told[node] = warm, now
 
@@ -96,21 +102,30 @@
                 room[0] += one.cpus
                 room[1] += one.gpus
             for cpus, gpus in zones.values():
-                if cpus + EPS >= count * spec.cpus and gpus + EPS >= count * spec.gpus:
+                if (
+                    cpus + ROOM_EPSILON >= count * spec.cpus
+                    and gpus + ROOM_EPSILON >= count * spec.gpus
+                ):
                     return True
         return False
 
-    def room(self, job: JobRun, machines: Iterable[Machine], promised: Room) -> int:
+    def room(self, job: JobRun, machines: Iterable[Machine], promised: RoomByMachine) -> int:
         """How many tasks of a job fit beside its image on machines, in one zone if need be."""
         zones: dict[str, int] = {}
         for machine in machines:
-            if job.spec.image in machine.images and machine.open and suits(job, machine):
+            if (
+                job.spec.image in machine.images
+                and machine.accepts_tasks
+                and machine_suits(job, machine)
+            ):
                 zone = machine.record.zone if job.spec.one_zone else ""
-                count = slots(job.spec, room_of(machine, promised))
+                count = tasks_fitting(job.spec, unpromised_room(machine, promised))
                 zones[zone] = zones.get(zone, 0) + count
         return max(zones.values(), default=0)
 
-    def leave(self, job: JobRun, machines: Iterable[Machine], promised: Room, count: int) -> int:
+    def count_left_to_peers(
+        self, job: JobRun, machines: Iterable[Machine], promised: RoomByMachine, count: int
+    ) -> int:
         """How many of `count` tasks of a new job this controller should leave to others for a
         moment: those it would have to fetch the image for, if another has room beside it. A fetch
         takes many times what the job loses if nobody takes it: a gang's images of 9 GB and more
@@ -119,12 +134,12 @@
         time it is heard; ten teams that claimed their guarantees at once waited for each other."""
         if (
             job.array
-            or self.desk.now - job.seen_at >= LEFT_POLLS * self.poll_s
+            or self.desk.now - job.first_seen_at >= LEFT_POLLS * self.poll_s
             or len(self.desk.settings.nodes) < 2
             or self.fetch_s(job.spec) < self.poll_s
         ):
             return 0
         lacking = count - self.room(job, machines, promised)
-        if lacking <= 0 or not self.elsewhere(job, count if job.whole else 1):
+        if lacking <= 0 or not self.elsewhere(job, count if job.claimed_whole else 1):
             return 0
-        return count if job.whole else lacking
+        return count if job.claimed_whole else lacking
--- a/sagecove/coordination/ports.py
+++ b/sagecove/coordination/interfaces.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from sagecove.config import Settings
-from sagecove.coordination.effects import Asked
+from sagecove.coordination.effects import IncomingRequest
 from sagecove.coordination.model import JobRun, Machine, Placement, Shard
 from sagecove.protocol import state as wire
 from sagecove.protocol.cloud import MachineType
@@ -16,13 +16,13 @@
 from sagecove.storage.store import Result
 
 # Who hears an answer: status (None: no response; 0: never sent) and body.
-Done = Callable[[int | None, bytes], None]
+ResponseCallback = Callable[[int | None, bytes], None]
 
 # Seconds between two ticks of the owner.
 TICK_S = 0.25
 
 
-class Clock(Protocol):
+class BaseContext(Protocol):
     """The owner's time (seconds of the steady clock), its settings, and its tables by name."""
 
     now: float
@@ -34,60 +34,60 @@
         """The time of day."""
 
 
-class Judge(Protocol):
+class FailureJudge(Protocol):
     """Who is to blame for errors."""
 
-    def suspect(self, job: JobRun) -> bool:
+    def fails_everywhere(self, job: JobRun) -> bool:
         """The job fails everywhere."""
 
 
-class Order(Protocol):
+class ArrayRanking(Protocol):
     """The order among jobs of equal standing."""
 
-    def rank(self, job: JobRun) -> None:
+    def update_rank(self, job: JobRun) -> None:
         """Find an array's place as of now."""
 
 
-class Ranked(Clock, Protocol):
+class BacklogContext(BaseContext, Protocol):
     """What the backlog asks of its surroundings."""
 
     @property
-    def failures(self) -> Judge:
+    def failures(self) -> FailureJudge:
         """Who is to blame for errors."""
 
     @property
-    def learning(self) -> Order:
+    def estimates(self) -> ArrayRanking:
         """The order of arrays."""
 
 
-class Levels(Protocol):
+class BorrowingLevels(Protocol):
     """What teams borrow."""
 
-    def level(self, team: str) -> int:
+    def borrowing_level(self, team: str) -> int:
         """How much a team borrows for the size of its guarantee, in powers of two."""
 
 
-class Learned(Clock, Protocol):
+class EstimatesContext(BaseContext, Protocol):
     """What learning asks of its surroundings."""
 
     @property
-    def standing(self) -> Levels:
+    def claim_totals(self) -> BorrowingLevels:
         """What teams borrow."""
 
-    types: dict[str, MachineType]
-    held: dict[str, Shard]
+    machine_types: dict[str, MachineType]
+    held_shards: dict[str, Shard]
 
 
-class Desk(Clock, Protocol):
+class OwnerContext(BaseContext, Protocol):
     """The owner's tables as its parts read them, and how what they decide leaves."""
 
     random: Random
     # Shards held here; all machines by shard; machine types.
-    held: dict[str, Shard]
-    by_shard: dict[str, dict[str, Machine]]
-    types: dict[str, MachineType]
+    held_shards: dict[str, Shard]
+    machines_by_shard: dict[str, dict[str, Machine]]
+    machine_types: dict[str, MachineType]
     # Something has changed that a pass should look at.
-    dirty: bool
+    pass_needed: bool
 
     def commit(
         self,
@@ -103,51 +103,51 @@
         """Count an event, for metrics."""
 
 
-class Halting(Protocol):
+class MachineCommands(Protocol):
     """Commands to machines."""
 
-    def halt(self, placement: Placement, grace: float, for_whom: str) -> None:
+    def stop_task(self, placement: Placement, grace_s: float, stopped_for: str) -> None:
         """A task is to stop, with this grace (seconds)."""
 
-    def hurry(self, machine: Machine) -> None:
+    def mark_urgent(self, machine: Machine) -> None:
         """A machine has commands waiting."""
 
 
-class Territory(Protocol):
+class ShardQueries(Protocol):
     """Shards, and what belongs to them."""
 
-    def acting_shards(self, now: float) -> list[str]:
+    def active_shards(self, now: float) -> list[str]:
         """Shards for which this controller may act now."""
 
-    def gang_home(self, job: JobRun) -> str | None:
+    def gang_home_shard(self, job: JobRun) -> str | None:
         """The shard that a gang of whole machines belongs to."""
 
-    def home(self, job: JobRun) -> str:
+    def home_shard(self, job: JobRun) -> str:
         """The shard that a gang is served in which fits nowhere yet."""
 
-    def could_hold(self, job: JobRun) -> bool:
+    def fleet_can_hold(self, job: JobRun) -> bool:
         """The fleet as it is, were it empty, has room for all tasks of a job."""
 
-    def beyond(self, job: JobRun, shard: str) -> int:
+    def tasks_beyond_capacity(self, job: JobRun, shard: str) -> int:
         """Tasks of a job that a shard, were it empty, has no room for."""
 
 
-class Syncing(Protocol):
+class MirrorSync(Protocol):
     """The mirror's upkeep."""
 
-    def want_sync(self) -> None:
+    def request_sync(self) -> None:
         """The mirror is seen to be behind."""
 
 
-class Draining(Protocol):
+class DrainHints(Protocol):
     """What peers say of machines that are to run empty."""
 
     # By shard, until when.
-    draining: dict[str, float]
+    draining_until: dict[str, float]
 
 
 @dataclasses.dataclass
-class Guard:
+class SubmissionGuard:
     """What a submission must find and write beside its own record."""
 
     conditions: list[tuple[str, int]]
@@ -160,10 +160,10 @@
     # Key prefixes of its own below `s/`, each with the struct its values are.
     records: list[tuple[str, Any]]
 
-    def changed(self, event: Event) -> None:
+    def key_changed(self, event: Event) -> None:
         """A key of its own has changed in the mirror."""
 
-    def asked(self, ask: Asked) -> bool:
+    def handle_request(self, ask: IncomingRequest) -> bool:
         """A request that the core has no answer to; True if it is the feature's to answer."""
 
     def job_seen(self, job: JobRun) -> None:
@@ -181,14 +181,14 @@
     def tick(self, now: float) -> None:
         """Some quarter of a second has passed."""
 
-    def look_up(self, kind: str, job_id: str, exchange: Any) -> bool:
+    def answer_unknown_job(self, kind: str, job_id: str, exchange: Any) -> bool:
         """A user asks (`status`, `cancel`, `submit`) for a job that the core does not know. True
         if the feature will answer. The read that this rests on has been done."""
 
-    def guard(self, job_id: str) -> Guard | str | None:
+    def submission_guard(self, job_id: str) -> SubmissionGuard | str | None:
         """What the submission of a job of this id needs beside the core's own conditions; a reason
         why no job may have it; None for nothing."""
 
-    def loads(self) -> Iterable[tuple[float, str, str, float, float]]:
+    def unfinished_work(self) -> Iterable[tuple[float, str, str, float, float]]:
         """Unfinished work that is not among the owner's jobs, for the count of guarantees: (when
         submitted, id to order by, team, CPUs, GPUs)."""
--- a/sagecove/coordination/inventory.py
+++ b/sagecove/coordination/inventory.py
@@ -4,10 +4,10 @@
 
 from typing import Protocol
 
+from sagecove.coordination.interfaces import OwnerContext
 from sagecove.coordination.ledger import Ledger
 from sagecove.coordination.model import Machine
-from sagecove.coordination.placement import dearness
-from sagecove.coordination.ports import Desk
+from sagecove.coordination.placement import price_class
 from sagecove.protocol.cloud import MachineType
 from sagecove.storage import records as r
 from sagecove.storage.mirror import Event
@@ -17,7 +17,7 @@
     """What workers have said."""
 
     # Machines that are gone, and since when.
-    gone: dict[str, float]
+    deleted_at: dict[str, float]
 
     def forget_tasks(self, machine: Machine, why: str) -> None:
         """All that was on a machine is gone."""
@@ -26,14 +26,16 @@
 class Resolving(Protocol):
     """Machines that an earlier holder knew."""
 
-    def machine_resolved(self, machine: Machine) -> None:
+    def resolve_machine(self, machine: Machine) -> None:
         """What an earlier holder may have left on this machine is known."""
 
 
 class Inventory:
     """The tables of machines."""
 
-    def __init__(self, desk: Desk, ledger: Ledger, workers: Forgetting, shards: Resolving) -> None:
+    def __init__(
+        self, desk: OwnerContext, ledger: Ledger, workers: Forgetting, shards: Resolving
+    ) -> None:
         self.desk = desk
         self.ledger = ledger
         self.workers = workers
@@ -41,17 +43,17 @@
         # Machines that are to be deleted.
         self.leaving: dict[str, Machine] = {}
         # The cheapest ordinary price for a CPU.
-        self.base_price = 0.0
+        self.lowest_cpu_price = 0.0
 
     def types_changed(self, types: list[MachineType]) -> None:
         """The cloud has told its machine types."""
-        self.desk.types.clear()
-        self.desk.types.update((t.name, t) for t in types)
-        self.base_price = min((t.price / max(t.cpus, 0.1) for t in types), default=0)
+        self.desk.machine_types.clear()
+        self.desk.machine_types.update((t.name, t) for t in types)
+        self.lowest_cpu_price = min((t.price / max(t.cpus, 0.1) for t in types), default=0)
         for machine in self.desk.machines.values():
             self._set_kind(machine)
 
-    def changed(self, name: str, event: Event) -> None:
+    def machine_changed(self, name: str, event: Event) -> None:
         """A machine's record has changed."""
         machine = self.desk.machines.get(name)
         if event.value is None:
@@ -59,12 +61,12 @@
                 # Its deletion was answered by the cloud: it is gone, and all that was on it.
                 del self.desk.machines[name]
                 self.leaving.pop(name, None)
-                self.desk.by_shard.get(machine.record.shard, {}).pop(name, None)
-                self.workers.gone[name] = self.desk.now
-                machine.known = False
+                self.desk.machines_by_shard.get(machine.record.shard, {}).pop(name, None)
+                self.workers.deleted_at[name] = self.desk.now
+                machine.tasks_known = False
                 self.workers.forget_tasks(machine, "gone")
-                self.shards.machine_resolved(machine)
-                self.ledger.look(machine)
+                self.shards.resolve_machine(machine)
+                self.ledger.update_machine(machine)
             return
         record: r.MachineRecord = event.value
         if machine is None:
@@ -72,23 +74,23 @@
             self.desk.machines[name] = machine
         else:
             if machine.record.shard != record.shard:
-                self.desk.by_shard.get(machine.record.shard, {}).pop(name, None)
-                self.ledger.moved(machine)
+                self.desk.machines_by_shard.get(machine.record.shard, {}).pop(name, None)
+                self.ledger.detach_machine(machine)
                 machine.record = record
                 machine.reset(self.desk.now)
             machine.record = record
             machine.stamp = event.stamp
-            machine.handing = False
+            machine.handing_over = False
         self._set_kind(machine)
-        self.desk.by_shard.setdefault(record.shard, {})[name] = machine
+        self.desk.machines_by_shard.setdefault(record.shard, {})[name] = machine
         if record.leaving:
             self.leaving[name] = machine
         else:
             self.leaving.pop(name, None)
-        self.ledger.look(machine)
+        self.ledger.update_machine(machine)
 
     def _set_kind(self, machine: Machine) -> None:
-        machine.kind = kind = self.desk.types.get(machine.record.type)
+        machine.machine_type = kind = self.desk.machine_types.get(machine.record.type)
         if kind is not None:
-            machine.dear = dearness(kind, machine.record.spot, self.base_price)
-        self.ledger.look(machine)
+            machine.price_class = price_class(kind, machine.record.spot, self.lowest_cpu_price)
+        self.ledger.update_machine(machine)
--- a/sagecove/coordination/leadership.py
+++ b/sagecove/coordination/leadership.py
@@ -39,9 +39,9 @@
 
     def __init__(self, owner: Owner) -> None:
         self.owner = owner
-        self.length = owner.settings.lease_s
-        self.lease: int | None = None
-        self.until = 0.0
+        self.lease_s = owner.settings.lease_s
+        self.lease_id: int | None = None
+        self.lease_until = 0.0
         self.granting = False
         self.renewing = False
         self.renew_at = 0.0
@@ -55,11 +55,11 @@
         # When a foreign shard's namesake was first seen healthy: it gets a moment to settle.
         self.namesake_since: dict[str, float] = {}
         # Promises of the other controllers, kept only while all of them stand.
-        self.promises: dict[str, float] = {}
-        self.promised_until = 0.0
+        self.peer_promises: dict[str, float] = {}
+        self.promises_until = 0.0
         # Our own promises: no shard taken by lapse is acted for before. A process that has just
         # started does not know what its predecessor promised.
-        self.given_until = owner.now + self.length
+        self.given_until = owner.now + self.lease_s
 
     # -- promises in an outage --------------------------------------------------------------------
 
@@ -68,7 +68,7 @@
         cancelled since, as far as users were told of it here, and a promise only while refused
         ourselves, so that a peer refused alone is replaced in time."""
         owner = self.owner
-        cancels = owner.cancels
+        cancels = owner.cancellations
         if not owner.mirror.loaded:
             return Promise()
         known = Promise(0.0, cancels.last, cancels.floor, cancels.since(applied))
@@ -78,8 +78,8 @@
         )
         if not refused:
             return known
-        self.given_until = max(self.given_until, owner.now + self.length)
-        return msgspec.structs.replace(known, for_s=self.length)
+        self.given_until = max(self.given_until, owner.now + self.lease_s)
+        return msgspec.structs.replace(known, for_s=self.lease_s)
 
     def promised(self, node: str, sent: float, promise: Promise) -> None:
         """A peer has answered a hint sent at `sent`. Promises extend authority that has not ended;
@@ -87,61 +87,61 @@
         owner = self.owner
         # First what it names is stopped: then this controller acts for nothing that a user was told
         # to be cancelled before the promise was given.
-        owner.cancels.stop(promise.cancelled)
+        owner.cancellations.stop(promise.cancelled)
         # One of a build that names nothing.
         unnamed = promise.cancels if promise.floor is None else promise.floor
         if promise.for_s <= 0 or unnamed > owner.mirror.applied:
-            self.promises.pop(node, None)
+            self.peer_promises.pop(node, None)
             return
         # However much it promises: that a cancellation which it tells later is covered rests on
         # this controller's own length.
-        length = min(promise.for_s, self.length)
-        self.promises[node] = sent + length * (1 - owner.settings.drift)
-        if all(peer.node in self.promises for peer in owner.settings.peers) and self.acting(
+        length = min(promise.for_s, self.lease_s)
+        self.peer_promises[node] = sent + length * (1 - owner.settings.drift)
+        if all(peer.node in self.peer_promises for peer in owner.settings.peers) and self.may_act(
             owner.now
         ):
-            self.promised_until = max(self.promised_until, min(self.promises.values()))
+            self.promises_until = max(self.promises_until, min(self.peer_promises.values()))
 
     def acting_until(self) -> float:
         """The moment after which this controller must not act."""
-        synced = self.owner.sync.synced_at + self.length * (1 - self.owner.settings.drift)
-        return max(min(self.until, synced), self.promised_until)
+        synced = self.owner.sync.synced_at + self.lease_s * (1 - self.owner.settings.drift)
+        return max(min(self.lease_until, synced), self.promises_until)
 
-    def acting(self, now: float) -> bool:
+    def may_act(self, now: float) -> bool:
         """May act for its shards."""
-        return self.lease is not None and now < self.acting_until()
+        return self.lease_id is not None and now < self.acting_until()
 
     # -- the lease ------------------------------------------------------------------------------
 
     def tick(self, now: float) -> None:
         """Keep the lease, and take what is missing."""
-        if self.lease is None:
+        if self.lease_id is None:
             if not self.granting and now >= self.renew_at:
                 self.granting = True
-                self.owner.store.grant(now, self.length, self._granted(now))
+                self.owner.store.grant(now, self.lease_s, self._granted(now))
             return
         if now >= self.renew_at and not self.renewing:
             self.renewing = True
             # While refused, a node retries fast: the first renewal after an outage counts.
-            self.renew_at = now + self.length / 8
-            self.owner.store.renew(now, self.lease, self._renewed(now, self.lease))
-        if self.owner.mirror.loaded and now < self.until:
+            self.renew_at = now + self.lease_s / 8
+            self.owner.store.renew(now, self.lease_id, self._renewed(now, self.lease_id))
+        if self.owner.mirror.loaded and now < self.lease_until:
             self._take_missing(now)
             self._give_back(now)
 
     def _estimate(self, sent: float) -> float:
-        return sent + self.length * (1 - self.owner.settings.drift) - 0.05
+        return sent + self.lease_s * (1 - self.owner.settings.drift) - 0.05
 
     def _granted(self, sent: float) -> Callable[[int | None, bytes], None]:
         def done(status: int | None, body: bytes) -> None:
             self.granting = False
             answer = decode(body, wire.Granted) if status == 200 else None
             if answer is None:
-                self.renew_at = self.owner.now + self.length / 16
+                self.renew_at = self.owner.now + self.lease_s / 16
                 return
-            self.lease = answer.lease
-            self.until = self._estimate(sent)
-            self.renew_at = sent + self.length / 8
+            self.lease_id = answer.lease
+            self.lease_until = self._estimate(sent)
+            self.renew_at = sent + self.lease_s / 8
             self.member_put = False
             self._retake_own()
 
@@ -150,21 +150,21 @@
     def _renewed(self, sent: float, lease: int) -> Callable[[int | None, bytes], None]:
         def done(status: int | None, body: bytes) -> None:
             self.renewing = False
-            if lease != self.lease:
+            if lease != self.lease_id:
                 return
             if status == 200:
-                self.until = max(self.until, self._estimate(sent))
+                self.lease_until = max(self.lease_until, self._estimate(sent))
             elif status == 404:
                 log.info("lease lost lease=%d", lease)
-                self.lease = None
-                self.until = 0.0
-                self.promised_until = 0.0
+                self.lease_id = None
+                self.lease_until = 0.0
+                self.promises_until = 0.0
                 self.renew_at = self.owner.now
                 self.provisioner_term = 0
-                for name in list(self.owner.held):
+                for name in list(self.owner.held_shards):
                     self.owner.shards.lose_shard(name)
             else:
-                self.renew_at = min(self.renew_at, self.owner.now + self.length / 16)
+                self.renew_at = min(self.renew_at, self.owner.now + self.lease_s / 16)
 
         return done
 
@@ -173,44 +173,46 @@
     def _retake_own(self) -> None:
         """After a start: the process that held this node's shard is dead, so take it at once."""
         owner = self.owner
-        if not owner.mirror.loaded or self.lease is None:
+        if not owner.mirror.loaded or self.lease_id is None:
             return
         node = owner.settings.node
-        if (differing := owner.limits.settling.differing()) != self.told_limits:
+        if (differing := owner.limits.split_proposer.differing_limits()) != self.told_limits:
             self.told_limits = differing
             self.member_put = False
         if not self.member_put:
             self.member_put = True
             changes: list[wire.Put | wire.Drop] = [
-                wire.Put(MEMBER + node, MemberRecord(self.lease, self.told_limits), self.lease)
+                wire.Put(
+                    MEMBER + node, MemberRecord(self.lease_id, self.told_limits), self.lease_id
+                )
             ]
             # An older one that is carried out late must not stand over a newer one: the others go
             # by the limits it tells.
             conditions = [(MEMBER + node, owner.mirror.stamp(MEMBER + node))]
             owner.commit(conditions, changes, self._member_done, urgent=True)
         item = owner.mirror.items.get(HOLDER + node)
-        if node not in owner.held and (
-            item is None or (item.value.node == node and item.value.lease != self.lease)
+        if node not in owner.held_shards and (
+            item is None or (item.value.node == node and item.value.lease != self.lease_id)
         ):
-            self._take(node)
+            self._take_shard(node)
 
     def _member_done(self, result: Result) -> None:
         if result.outcome is not Outcome.DONE:
             self.member_put = False
-            self.owner.sync.want_sync()
+            self.owner.sync.request_sync()
 
-    def _take(self, shard: str) -> None:
+    def _take_shard(self, shard: str) -> None:
         key = HOLDER + shard
-        if key in self.busy or self.lease is None:
+        if key in self.busy or self.lease_id is None:
             return
         self.busy.add(key)
         owner = self.owner
 
         def done(result: Result) -> None:
             self.busy.discard(key)
-            owner.sync.want_sync()
+            owner.sync.request_sync()
             if result.outcome is not Outcome.DONE:
-                self.missing_since[shard] = owner.now + owner.random.uniform(0, self.length / 16)
+                self.missing_since[shard] = owner.now + owner.random.uniform(0, self.lease_s / 16)
 
         node = owner.settings.node
         last = LAST + shard
@@ -223,7 +225,7 @@
         # Written whoever it names: carried out late, the transaction found the key absent again and
         # the record as it was, after its namesake had taken the shard, used it and lost it.
         changes: list[wire.Put | wire.Drop] = [
-            wire.Put(key, HolderRecord(node, self.lease, vacated), self.lease),
+            wire.Put(key, HolderRecord(node, self.lease_id, vacated), self.lease_id),
             wire.Put(last, LastRecord(node)),
         ]
         owner.commit(conditions, changes, done, urgent=True)
@@ -251,35 +253,35 @@
             if unused and not owner.limits.has_share(name):
                 continue
             since = self.missing_since.setdefault(
-                name, now + owner.random.uniform(0, self.length / 32)
+                name, now + owner.random.uniform(0, self.lease_s / 32)
             )
             # The namesake, if it is up, takes its own shard: leave it the first try.
-            patience = self.length / 8 if MEMBER + name in owner.mirror.items else 0.0
+            patience = self.lease_s / 8 if MEMBER + name in owner.mirror.items else 0.0
             if unused:
                 # Only its part of the limits is wanted: a controller that has not come up yet, or
                 # comes back, is waited for as long as one that is silent.
-                patience = self.length
+                patience = self.lease_s
             # Who has taken one already leaves the next to others: of five controllers two ended,
             # and one of the three that were left took both shards.
-            patience += self._foreign() * self.length / 16
+            patience += self._foreign() * self.lease_s / 16
             # Before its own promises are over it could not act for the shard: taken all the same,
             # by the first of several controllers that came back together, it was of no use to
             # anybody, its namesake included, until they were.
             able = now >= self.given_until or self._last_holder(name) == node or unused
             if able and now >= since + patience and now < self.acting_until():
-                self._take(name)
-        if PROVISIONER not in owner.mirror.items and self.lease is not None:
+                self._take_shard(name)
+        if PROVISIONER not in owner.mirror.items and self.lease_id is not None:
             since = self.missing_since.setdefault(
-                PROVISIONER, now + owner.random.uniform(0, self.length / 16)
+                PROVISIONER, now + owner.random.uniform(0, self.lease_s / 16)
             )
             if now >= since and PROVISIONER not in self.busy:
                 self.busy.add(PROVISIONER)
 
                 def done(result: Result) -> None:
                     self.busy.discard(PROVISIONER)
-                    self.missing_since[PROVISIONER] = owner.now + self.length / 16
+                    self.missing_since[PROVISIONER] = owner.now + self.lease_s / 16
 
-                put = wire.Put(PROVISIONER, HolderRecord(node, self.lease), self.lease)
+                put = wire.Put(PROVISIONER, HolderRecord(node, self.lease_id), self.lease_id)
                 owner.commit([(PROVISIONER, 0)], [put], done, urgent=True)
         else:
             self.missing_since.pop(PROVISIONER, None)
@@ -287,18 +289,20 @@
     def _foreign(self) -> int:
         """Shards of others that are held here, or about to be."""
         node = self.owner.settings.node
-        names = {name for name in self.owner.held if name != node}
+        names = {name for name in self.owner.held_shards if name != node}
         taking = {key.removeprefix(HOLDER) for key in self.busy if key.startswith(HOLDER)}
         return len(names | (taking - {node}))
 
-    def check_holders(self) -> None:
+    def update_held_shards(self) -> None:
         """Gain and lose shards by what the mirror says of their holders."""
         owner = self.owner
         for name in owner.settings.nodes:
             item = owner.mirror.items.get(HOLDER + name)
             # A key under the lease of an earlier process of this node is not this one's.
-            mine = item is not None and item.value.lease == self.lease and self.lease is not None
-            held = owner.held.get(name)
+            mine = (
+                item is not None and item.value.lease == self.lease_id and self.lease_id is not None
+            )
+            held = owner.held_shards.get(name)
             if held is not None and (not mine or item is None or held.term != item.stamp):
                 owner.shards.lose_shard(name)
                 held = None
@@ -313,7 +317,7 @@
             ):
                 owner.shards.gain_shard(Shard(name, item.stamp, owner.now))
         role = owner.mirror.items.get(PROVISIONER)
-        mine = role is not None and role.value.lease == self.lease and self.lease is not None
+        mine = role is not None and role.value.lease == self.lease_id and self.lease_id is not None
         self.provisioner_term = role.stamp if mine and role is not None else 0
 
     # -- handing back ---------------------------------------------------------------------------
@@ -321,7 +325,7 @@
     def _give_back(self, now: float) -> None:
         """Foreign shards return to their namesake once it is up: a new term, no task stopped."""
         owner = self.owner
-        for name, shard in list(owner.held.items()):
+        for name, shard in list(owner.held_shards.items()):
             if name == owner.settings.node:
                 continue
             item = owner.mirror.items.get(MEMBER + name)
@@ -331,7 +335,7 @@
                     continue
             else:
                 since = self.namesake_since.setdefault(name, now)
-                if now - since < self.length / 8 and not shard.yielding:
+                if now - since < self.lease_s / 8 and not shard.yielding:
                     continue
             key = HOLDER + name
             if key in self.busy:
@@ -346,14 +350,14 @@
                 changes.append(wire.Put(key, HolderRecord(name, lease, True), lease))
                 changes.append(wire.Put(LAST + name, LastRecord(name)))
             else:
-                assert self.lease is not None
-                node, lease = owner.settings.node, self.lease
+                assert self.lease_id is not None
+                node, lease = owner.settings.node, self.lease_id
                 changes.append(wire.Put(key, HolderRecord(node, lease, True), lease))
 
             def done(result: Result, key: str = key, name: str = name) -> None:
                 self.busy.discard(key)
                 if result.outcome is Outcome.NO_LEASE:
                     self.namesake_since.pop(name, None)
-                owner.sync.want_sync()
+                owner.sync.request_sync()
 
             owner.commit([(key, shard.term)], changes, done, urgent=True)
--- a/sagecove/coordination/ledger.py
+++ b/sagecove/coordination/ledger.py
@@ -2,7 +2,7 @@
 
 For each shard held here: what teams' tasks take, what their claims will take, whose machines cannot
 be told yet, and which jobs have tasks there. Kept up to date by each change, never recounted in a
-pass; `coordination.recount` counts all of it anew, as a check.
+pass; `coordination.ledger_check` counts all of it anew, as a check.
 
 Amounts are kept in millionths, as integers: sums of decimals that come and go by the ten thousand
 would drift, and a limit is a rule.
@@ -12,15 +12,24 @@
 
 from typing import Protocol
 
-from sagecove.coordination.model import EPS, PARTS, SENT, JobRun, Machine, Placement, Shard, parts
-from sagecove.coordination.ports import Clock
+from sagecove.coordination.interfaces import BaseContext
+from sagecove.coordination.model import (
+    LAUNCH_SENT,
+    MILLIONTHS_PER_UNIT,
+    ROOM_EPSILON,
+    JobRun,
+    Machine,
+    Placement,
+    Shard,
+    to_millionths,
+)
 from sagecove.protocol import workers as w
 
 # What a machine of a type not known yet may hold (CPUs, GPUs): more than any limit.
 ANYTHING = 1_000_000_000
 
 # A task in these states may be waiting for its image.
-FETCHING = (SENT, w.PULLING)
+FETCHING = (LAUNCH_SENT, w.PULLING)
 
 Pair = tuple[float, float]
 
@@ -28,7 +37,7 @@
 class Stirred(Protocol):
     """Who wants to know that something about a job has changed."""
 
-    def stir(self, job: JobRun) -> None:
+    def mark_dirty(self, job: JobRun) -> None:
         """A pass should look at the job again."""
 
 
@@ -42,18 +51,18 @@
         """A job is over."""
 
 
-class Books(Clock, Protocol):
+class Books(BaseContext, Protocol):
     """What the ledger asks of its surroundings."""
 
-    held: dict[str, Shard]
-    by_shard: dict[str, dict[str, Machine]]
+    held_shards: dict[str, Shard]
+    machines_by_shard: dict[str, dict[str, Machine]]
 
     @property
     def backlog(self) -> Stirred:
         """Jobs, sorted by whether a pass must look at them."""
 
     @property
-    def standing(self) -> Noting:
+    def claim_totals(self) -> Noting:
         """What teams claim in all shards."""
 
 
@@ -108,7 +117,7 @@
     def used(self, shard: str, team: str) -> Pair:
         """An upper bound of what a team's tasks take on a shard's machines (CPUs, GPUs)."""
         have = self.used_parts(shard, team)
-        return have[0] / PARTS, have[1] / PARTS
+        return have[0] / MILLIONTHS_PER_UNIT, have[1] / MILLIONTHS_PER_UNIT
 
     def used_parts(self, shard: str, team: str) -> tuple[int, int]:
         """The same in millionths."""
@@ -124,79 +133,79 @@
     def claimed(self, shard: str, team: str) -> Pair:
         """What a shard's claims of a team will take (CPUs, GPUs)."""
         have = self.claimed_parts(shard, team)
-        return have[0] / PARTS, have[1] / PARTS
+        return have[0] / MILLIONTHS_PER_UNIT, have[1] / MILLIONTHS_PER_UNIT
 
     def claimed_parts(self, shard: str, team: str) -> tuple[int, int]:
         """The same in millionths."""
         have = self.accounts[shard].claimed.get(team, (0, 0))
         return have[0], have[1]
 
-    def running(self, shard: str) -> list[JobRun]:
+    def jobs_with_tasks(self, shard: str) -> list[JobRun]:
         """Jobs that take room on a shard's machines."""
         account = self.accounts.get(shard)
         return [job for job, _ in account.jobs.values()] if account is not None else []
 
-    def free(self, shard: str) -> list[Machine]:
+    def machines_with_room(self, shard: str) -> list[Machine]:
         """Machines of a shard that may be given tasks and are not full: all that a pass need look
         at for room."""
         account = self.accounts.get(shard)
         if account is None:
             return []
-        return [machine for machine in account.free.values() if machine.open]
+        return [machine for machine in account.free.values() if machine.accepts_tasks]
 
-    def stopping(self, shard: str) -> list[Placement]:
+    def stopping_placements(self, shard: str) -> list[Placement]:
         """Tasks on a shard's machines that are on their way out."""
         account = self.accounts.get(shard)
         return list(account.stopping.values()) if account is not None else []
 
     # -- placements -----------------------------------------------------------------------------
 
-    def put(self, machine: Machine, placement: Placement) -> None:
+    def add_placement(self, machine: Machine, placement: Placement) -> None:
         """A task is, or may be, on a machine from now on."""
         job = placement.job
         assert job is not None
-        machine.settled = False
+        machine.quiescent = False
         machine.tasks[placement.task] = placement
-        machine.take(job.spec, 1)
-        placement.counted = True
+        machine.count_room(job.spec, 1)
+        placement.in_ledger = True
         image = job.spec.image
         if placement.state in FETCHING and image not in machine.images:
             placement.fetching = True
             machine.fetching[image] = machine.fetching.get(image, 0) + 1
-        job.add(placement)
+        job.add_placement(placement)
         account = self.accounts.get(machine.record.shard)
         if account is not None:
             account.use(job, 1, machine.name not in account.unsure)
             _note_room(account, machine)
-        self.owner.backlog.stir(job)
+        self.owner.backlog.mark_dirty(job)
 
-    def state(self, placement: Placement, state: str) -> None:
+    def set_task_state(self, placement: Placement, state: str) -> None:
         """A task's state is known to be another: when it has exited it takes no room."""
         job = placement.job
         assert job is not None
         if placement.state == w.TASK_RUNNING:
-            job.running -= placement.counted
+            job.running_count -= placement.in_ledger
         placement.state = state
-        placement.machine.settled = False
+        placement.machine.quiescent = False
         if state == w.TASK_RUNNING:
-            job.running += placement.counted
+            job.running_count += placement.in_ledger
         if state not in FETCHING:
             _fetched(placement)
         if state == w.EXITED:
             self._out(placement)
 
-    def stop(self, placement: Placement) -> None:
+    def mark_stopping(self, placement: Placement) -> None:
         """A task is on its way out: what it holds will be free."""
-        placement.machine.settled = False
+        placement.machine.quiescent = False
         account = self.accounts.get(placement.machine.record.shard)
-        if account is not None and placement.counted:
+        if account is not None and placement.in_ledger:
             account.stopping[placement.task] = placement
         if placement.job is not None:
-            self.owner.backlog.stir(placement.job)
+            self.owner.backlog.mark_dirty(placement.job)
 
-    def drop(self, machine: Machine, placement: Placement) -> None:
+    def remove_placement(self, machine: Machine, placement: Placement) -> None:
         """A task is off a machine's list."""
-        machine.settled = False
+        machine.quiescent = False
         if machine.tasks.get(placement.task) is placement:
             del machine.tasks[placement.task]
         self._out(placement)
@@ -205,19 +214,19 @@
         """A task is known to be gone, or is another holder's to know of."""
         job = placement.job
         if job is not None and self._uncount(placement, job):
-            job.remove(placement)
-            self.owner.backlog.stir(job)
+            job.remove_placement(placement)
+            self.owner.backlog.mark_dirty(job)
 
     def _uncount(self, placement: Placement, job: JobRun) -> bool:
         """A task takes no room in the books any more; False if it took none before."""
-        if not placement.counted:
+        if not placement.in_ledger:
             return False
         if placement.state == w.TASK_RUNNING:
-            job.running -= 1
-        placement.counted = False
+            job.running_count -= 1
+        placement.in_ledger = False
         _fetched(placement)
         machine = placement.machine
-        machine.take(job.spec, -1)
+        machine.count_room(job.spec, -1)
         account = self.accounts.get(machine.record.shard)
         if account is not None:
             account.use(job, -1, machine.name not in account.unsure)
@@ -228,35 +237,35 @@
 
     # -- machines -------------------------------------------------------------------------------
 
-    def look(self, machine: Machine) -> None:
+    def update_machine(self, machine: Machine) -> None:
         """Whether all tasks on a machine are known, or its type, may have changed."""
-        shard = self.owner.held.get(machine.record.shard)
+        shard = self.owner.held_shards.get(machine.record.shard)
         account = self.accounts.get(machine.record.shard)
         if shard is None or account is None:
             return
         name = machine.name
         _note_room(account, machine)
-        here = self.owner.by_shard.get(shard.name, {}).get(name) is machine
+        here = self.owner.machines_by_shard.get(shard.name, {}).get(name) is machine
         if not here:
             account.free.pop(name, None)
-        unsure = here and (name in shard.unknown or machine.murky)
+        unsure = here and (name in shard.unreported_machines or machine.runs_unknown_tasks)
         if not unsure and name not in account.unsure:
             return
         was = name in account.unsure
-        kind = machine.kind
+        kind = machine.machine_type
         room = (
-            (parts(kind.cpus), parts(kind.gpus))
+            (to_millionths(kind.cpus), to_millionths(kind.gpus))
             if kind is not None
-            else (ANYTHING * PARTS, ANYTHING * PARTS)
+            else (ANYTHING * MILLIONTHS_PER_UNIT, ANYTHING * MILLIONTHS_PER_UNIT)
         )
         account.doubt(name, room if unsure else None)
         if was == unsure:
             return
         for placement in machine.tasks.values():
-            if placement.counted and placement.job is not None:
+            if placement.in_ledger and placement.job is not None:
                 _add(account.used, placement.job, -1 if unsure else 1)
 
-    def moved(self, machine: Machine) -> None:
+    def detach_machine(self, machine: Machine) -> None:
         """A machine is about to be another shard's: here it and its tasks count for nothing. They
         stay their jobs' tasks: nothing shows that they are gone, and they must not start twice."""
         for placement in machine.tasks.values():
@@ -269,64 +278,64 @@
 
     # -- shards ---------------------------------------------------------------------------------
 
-    def opened(self, shard: Shard, jobs: list[JobRun]) -> None:
+    def open_shard(self, shard: Shard, jobs: list[JobRun]) -> None:
         """A shard is held from now on; nothing is known of its machines' tasks."""
         self.accounts[shard.name] = Account()
-        for machine in self.owner.by_shard.get(shard.name, {}).values():
-            self.look(machine)
+        for machine in self.owner.machines_by_shard.get(shard.name, {}).values():
+            self.update_machine(machine)
         for job in jobs:
-            self.claims(job)
+            self.update_claims(job)
 
-    def closed(self, shard: str, jobs: list[JobRun]) -> None:
+    def close_shard(self, shard: str, jobs: list[JobRun]) -> None:
         """A shard is held no longer: its books, and its machines' tasks, are forgotten."""
-        for machine in self.owner.by_shard.get(shard, {}).values():
+        for machine in self.owner.machines_by_shard.get(shard, {}).values():
             for placement in machine.tasks.values():
                 self._out(placement)
         self.accounts.pop(shard, None)
         for job in jobs:
-            if job.booked is not None:
-                job.booked.pop(shard, None)
+            if job.ledger_claim_counts is not None:
+                job.ledger_claim_counts.pop(shard, None)
 
     # -- claims ---------------------------------------------------------------------------------
 
-    def claims(self, job: JobRun) -> None:
+    def update_claims(self, job: JobRun) -> None:
         """A job's claims, its finished tasks or a claim under way may have changed."""
         if self.owner.jobs.get(job.id) is not job:
             # Over: what is still on machines is in the way, but claims nothing.
             return
-        self.owner.standing.noted(job)
-        if job.claims or job.claiming is not None or job.booked:
+        self.owner.claim_totals.noted(job)
+        if job.claims or job.claiming is not None or job.ledger_claim_counts:
             for name, account in self.accounts.items():
                 bits = job.claimed(name)
                 if job.claiming is not None and job.claiming[0] == name:
                     # A claim under way: what it needs must not be given back meanwhile.
                     bits |= job.claiming[1]
                 self._book(job, name, account, bits.bit_count())
-        self.owner.backlog.stir(job)
+        self.owner.backlog.mark_dirty(job)
 
-    def over(self, job: JobRun) -> None:
+    def remove_job(self, job: JobRun) -> None:
         """A job is over: it claims nothing."""
-        self.owner.standing.over(job)
+        self.owner.claim_totals.over(job)
         for name, account in self.accounts.items():
             self._book(job, name, account, 0)
 
     @staticmethod
     def _book(job: JobRun, name: str, account: Account, count: int) -> None:
-        before = job.booked.get(name, 0) if job.booked is not None else 0
+        before = job.ledger_claim_counts.get(name, 0) if job.ledger_claim_counts is not None else 0
         if count == before:
             return
-        if job.booked is None:
-            job.booked = {}
-        job.booked[name] = count
+        if job.ledger_claim_counts is None:
+            job.ledger_claim_counts = {}
+        job.ledger_claim_counts[name] = count
         if not count:
-            del job.booked[name]
+            del job.ledger_claim_counts[name]
         _add(account.claimed, job, count - before)
 
 
 def _note_room(account: Account, machine: Machine) -> None:
     """A machine may have become full, or may no longer be."""
-    free = machine.free()
-    if free[0] > EPS and free[2] > EPS:
+    free = machine.free_room()
+    if free[0] > ROOM_EPSILON and free[2] > ROOM_EPSILON:
         account.free[machine.name] = machine
     else:
         account.free.pop(machine.name, None)
@@ -347,5 +356,5 @@
     have = table.get(job.spec.team)
     if have is None:
         have = table[job.spec.team] = [0, 0]
-    have[0] += count * parts(job.spec.cpus)
-    have[1] += count * parts(job.spec.gpus)
+    have[0] += count * to_millionths(job.spec.cpus)
+    have[1] += count * to_millionths(job.spec.gpus)
--- a/sagecove/coordination/recount.py
+++ b/sagecove/coordination/ledger_check.py
@@ -9,19 +9,19 @@
 from typing import Protocol
 
 from sagecove.coordination.backlog import Backlog
+from sagecove.coordination.interfaces import BaseContext
 from sagecove.coordination.ledger import Ledger
 from sagecove.coordination.model import JobRun, Machine, Shard
-from sagecove.coordination.ports import Clock
 from sagecove.protocol import workers as w
 
 Pair = tuple[float, float]
 
 
-class Counted(Clock, Protocol):
+class Counted(BaseContext, Protocol):
     """Whose books are counted."""
 
-    held: dict[str, Shard]
-    by_shard: dict[str, dict[str, Machine]]
+    held_shards: dict[str, Shard]
+    machines_by_shard: dict[str, dict[str, Machine]]
 
     @property
     def backlog(self) -> Backlog:
@@ -32,15 +32,15 @@
         """The books."""
 
 
-def differences(owner: Counted) -> list[str]:
+def ledger_differences(owner: Counted) -> list[str]:
     """What the books say that is not so; an empty list if they are right."""
     out: list[str] = []
     ledger = owner.ledger
-    if set(ledger.accounts) != set(owner.held):
-        out.append(f"accounts of {sorted(ledger.accounts)}, held are {sorted(owner.held)}")
+    if set(ledger.accounts) != set(owner.held_shards):
+        out.append(f"accounts of {sorted(ledger.accounts)}, held are {sorted(owner.held_shards)}")
         return out
     running: dict[str, int] = {}
-    for name, shard in owner.held.items():
+    for name, shard in owner.held_shards.items():
         used, everyone, here = _used(owner, shard)
         claimed = _claimed(owner, name)
         teams = {*used, *claimed, *ledger.accounts[name].used, *ledger.accounts[name].claimed}
@@ -54,14 +54,14 @@
         if kept != here:
             out.append(f"{name}: jobs with tasks {kept}, counted {here}")
         out += _machines(owner, name)
-    for machines in owner.by_shard.values():
+    for machines in owner.machines_by_shard.values():
         for machine in machines.values():
             for placement in machine.tasks.values():
                 if placement.job is not None and placement.state == w.TASK_RUNNING:
                     running[placement.job.id] = running.get(placement.job.id, 0) + 1
     for job in owner.jobs.values():
-        if job.running != running.get(job.id, 0):
-            out.append(f"{job.id}: {job.running} running, counted {running.get(job.id, 0)}")
+        if job.running_count != running.get(job.id, 0):
+            out.append(f"{job.id}: {job.running_count} running, counted {running.get(job.id, 0)}")
     return out + _resting(owner)
 
 
@@ -70,12 +70,12 @@
     table: dict[str, Pair] = {}
     everyone = (0.0, 0.0)
     jobs: dict[str, int] = {}
-    for machine in owner.by_shard.get(shard.name, {}).values():
-        unsure = machine.name in shard.unknown or any(
-            state != w.EXITED for state in machine.strays.values()
+    for machine in owner.machines_by_shard.get(shard.name, {}).values():
+        unsure = machine.name in shard.unreported_machines or any(
+            state != w.EXITED for state in machine.unknown_tasks.values()
         )
         if unsure:
-            kind = machine.kind
+            kind = machine.machine_type
             more = (kind.cpus, kind.gpus) if kind is not None else (1e9, 1e9)
             everyone = everyone[0] + more[0], everyone[1] + more[1]
         for placement in machine.tasks.values():
@@ -92,7 +92,7 @@
 def _claimed(owner: Counted, shard: str) -> dict[str, Pair]:
     table: dict[str, Pair] = {}
     for job in owner.jobs.values():
-        bits = job.claims.get(shard, 0) & job.every & ~job.fin & ~job.fresh
+        bits = job.claims.get(shard, 0) & job.all_tasks & ~job.finished & ~job.finished_unrecorded
         if job.claiming is not None and job.claiming[0] == shard:
             bits |= job.claiming[1]
         if count := bits.bit_count():
@@ -106,7 +106,7 @@
 
 def _machines(owner: Counted, shard: str) -> list[str]:
     out = []
-    for machine in owner.by_shard.get(shard, {}).values():
+    for machine in owner.machines_by_shard.get(shard, {}).values():
         taken = [0.0, 0.0, 0.0]
         for placement in machine.tasks.values():
             if placement.state != w.EXITED and placement.job is not None:
@@ -126,9 +126,9 @@
     out = []
     # For a shard that is being handed back nothing is done any more; under its next term, here or
     # elsewhere, all jobs with claims are looked at.
-    held = [name for name, shard in owner.held.items() if not shard.yielding]
+    held = [name for name, shard in owner.held_shards.items() if not shard.yielding]
     for job in owner.backlog.active.values():
-        if job.id not in owner.backlog.open and not through(job, held):
+        if job.id not in owner.backlog.dirty_jobs and not through(job, held):
             out.append(f"{job.id}: something is to be done for it, and no pass looks at it")
     return out
 
@@ -137,11 +137,18 @@
     """Nothing is to be done for an active job before something happens to it."""
     claims_here = any(job.claims.get(shard, 0) for shard in held)
     lacking = job.unclaimed or any(
-        job.claims.get(shard, 0) & ~job.fin & ~job.fresh & ~job.placed_bits for shard in held
+        job.claims.get(shard, 0) & ~job.finished & ~job.finished_unrecorded & ~job.placed_bits
+        for shard in held
     )
-    writing = job.committing or job.releasing or job.fresh & (job.every if claims_here else 0)
-    gang = job.gang and (job.failing or any(p.halt is not None for p in job.placed.values()))
-    return not (lacking or writing or gang or job.reserved or job.stuck_at)
+    writing = (
+        job.committing
+        or job.releasing
+        or job.finished_unrecorded & (job.all_tasks if claims_here else 0)
+    )
+    gang = job.gang and (
+        job.gang_stopping or any(p.stop_grace_s is not None for p in job.placed.values())
+    )
+    return not (lacking or writing or gang or job.reserved or job.unplaceable_since)
 
 
 def _differ(what: str, kept: Pair, counted: Pair) -> list[str]:
--- a/sagecove/coordination/limits/account.py
+++ b/sagecove/coordination/limits/account.py
@@ -10,9 +10,9 @@
 
 from sagecove.coordination.limits.records import (
     ZERO,
-    Amount,
-    Row,
-    Settlement,
+    LimitSplit,
+    ResourceAmount,
+    ShardTransfers,
     least,
     minus,
     most,
@@ -25,13 +25,13 @@
     """One team's settlement and rows, as one controller knows them."""
 
     def __init__(self) -> None:
-        self.settlement: Settlement | None = None
+        self.settlement: LimitSplit | None = None
         # The settlement's revision.
         self.epoch = 0
-        self.rows: dict[str, Row] = {}
+        self.rows: dict[str, ShardTransfers] = {}
         # Rows under way whose outcome is not known: the smaller share counts.
-        self.pending: dict[str, Row] = {}
-        self._shares: dict[str, Amount] = {}
+        self.pending: dict[str, ShardTransfers] = {}
+        self._shares: dict[str, ResourceAmount] = {}
         self._settled: bool | None = None
 
     def changed(self) -> None:
@@ -59,7 +59,7 @@
         row = self.rows.get(shard)
         return row is not None and row.epoch == self.epoch
 
-    def share(self, shard: str) -> Amount:
+    def share(self, shard: str) -> ResourceAmount:
         """What a shard's holder may let the team's tasks use there."""
         found = self._shares.get(shard)
         if found is None:
@@ -69,7 +69,7 @@
             self._shares[shard] = found
         return found
 
-    def _share(self, shard: str, row: Row | None) -> Amount:
+    def _share(self, shard: str, row: ShardTransfers | None) -> ResourceAmount:
         q = self.settlement
         if q is None:
             return ZERO
@@ -81,13 +81,15 @@
         # Growth only follows once nobody goes by the split before any more.
         return least(mine, most(ZERO, self.earlier(shard, row)))
 
-    def earlier(self, shard: str, row: Row | None) -> Amount:
+    def earlier(self, shard: str, row: ShardTransfers | None) -> ResourceAmount:
         """A shard's share by the settlement before."""
         q = self.settlement
         assert q is not None
         return self._sum(shard, row, q.earlier.get(shard, ZERO), q.before)
 
-    def _sum(self, shard: str, row: Row | None, base: Amount, epoch: int) -> Amount:
+    def _sum(
+        self, shard: str, row: ShardTransfers | None, base: ResourceAmount, epoch: int
+    ) -> ResourceAmount:
         share = base
         for other, theirs in self.rows.items():
             if other != shard and theirs.epoch == epoch and shard in theirs.given:
@@ -99,15 +101,15 @@
 
     # -- what may be written ----------------------------------------------------------------------
 
-    def giving(self, shard: str, gifts: dict[str, Amount]) -> Row:
+    def giving(self, shard: str, gifts: dict[str, ResourceAmount]) -> ShardTransfers:
         """The row of a shard that gives so much more to others. The account is settled."""
         row = self.rows.get(shard)
         given = dict(row.given) if row is not None and row.epoch == self.epoch else {}
         for to, amount in gifts.items():
             given[to] = plus(given.get(to, ZERO), amount)
-        return Row(self.epoch, given)
+        return ShardTransfers(self.epoch, given)
 
-    def accepting(self, shard: str, used: Amount) -> Row | None:
+    def accepting(self, shard: str, used: ResourceAmount) -> ShardTransfers | None:
         """The row by which a shard goes over to the settlement; None while it uses more than its
         part, or if it has gone over."""
         q = self.settlement
@@ -117,9 +119,11 @@
         if not within(used, mine):
             return None
         # What is used is within what it had before, or the limit was exceeded already.
-        return Row(self.epoch, {}, self.share(shard))
+        return ShardTransfers(self.epoch, {}, self.share(shard))
 
-    def resettled(self, limit: Amount, claimed: dict[str, Amount], shards: list[str]) -> Settlement:
+    def resettled(
+        self, limit: ResourceAmount, claimed: dict[str, ResourceAmount], shards: list[str]
+    ) -> LimitSplit:
         """The next settlement: each shard its claims, scaled down if the limit is less, and an
         equal part of what is left. Only once the one before is settled."""
         parts: dict[str, list[int]] = {shard: [0, 0] for shard in shards}
@@ -135,6 +139,6 @@
             parts[shards[0]][n] += limit[n] - sum(part[n] for part in parts.values())
         split = {shard: (amount[0], amount[1]) for shard, amount in parts.items()}
         before = self.settlement
-        return Settlement(
+        return LimitSplit(
             limit, split, self.epoch if before else 0, before.shards if before else {}
         )
--- a/sagecove/coordination/limits/standing.py
+++ b/sagecove/coordination/limits/claim_totals.py
@@ -9,42 +9,42 @@
 from math import log2
 
 from sagecove.config import Team
-from sagecove.coordination.limits.records import ZERO, Amount, minus, most, plus
-from sagecove.coordination.model import PARTS, JobRun, parts
+from sagecove.coordination.limits.records import ZERO, ResourceAmount, minus, most, plus
+from sagecove.coordination.model import MILLIONTHS_PER_UNIT, JobRun, to_millionths
 
 # A team without a guarantee counts with this part of the smallest guarantee.
 GUESTS = 0.25
 
 
-class Standing:
+class ClaimTotals:
     """Claims by team and shard (CPUs, GPUs in millionths)."""
 
     def __init__(self, teams: dict[str, Team]) -> None:
         self.teams = teams
-        self.claimed: dict[str, dict[str, Amount]] = {}
+        self.claimed: dict[str, dict[str, ResourceAmount]] = {}
         # What a team without a guarantee counts with: a part of the smallest.
         self.least = [
-            int(GUESTS * min((parts(a) for a in amounts if a > 0), default=0))
+            int(GUESTS * min((to_millionths(a) for a in amounts if a > 0), default=0))
             for amounts in (
                 [team.cpus for team in teams.values()],
                 [team.gpus for team in teams.values()],
             )
         ]
         # By team: what all its claims come to, and the CPUs of those that take no GPUs.
-        self.totals: dict[str, Amount] = {}
+        self.totals: dict[str, ResourceAmount] = {}
         self.alone: dict[str, int] = {}
 
     def noted(self, job: JobRun) -> None:
         """A job's claims may have changed."""
-        before, job.stood = job.stood, None
+        before, job.team_claim_counts = job.team_claim_counts, None
         for shard, bits in job.claims.items():
             if count := bits.bit_count():
-                if job.stood is None:
-                    job.stood = {}
-                job.stood[shard] = count
-        if before == job.stood:
+                if job.team_claim_counts is None:
+                    job.team_claim_counts = {}
+                job.team_claim_counts[shard] = count
+        if before == job.team_claim_counts:
             return
-        after = job.stood or {}
+        after = job.team_claim_counts or {}
         for shard in {*(before or ()), *after}:
             more = after.get(shard, 0) - (before or {}).get(shard, 0)
             if more:
@@ -52,13 +52,13 @@
 
     def over(self, job: JobRun) -> None:
         """A job is over: it claims nothing."""
-        before, job.stood = job.stood, None
+        before, job.team_claim_counts = job.team_claim_counts, None
         for shard, count in (before or {}).items():
             self._add(job, shard, -count)
 
     def _add(self, job: JobRun, shard: str, count: int) -> None:
         team = job.spec.team
-        amount = count * parts(job.spec.cpus), count * parts(job.spec.gpus)
+        amount = count * to_millionths(job.spec.cpus), count * to_millionths(job.spec.gpus)
         table = self.claimed.setdefault(team, {})
         now = plus(table.get(shard, ZERO), amount)
         if now == ZERO:
@@ -69,22 +69,22 @@
         if not amount[1]:
             self.alone[team] = self.alone.get(team, 0) + amount[0]
 
-    def entitled(self, team: Team) -> Amount:
+    def entitlement(self, team: Team) -> ResourceAmount:
         """What a team is owed, of what it claims as it claims it: its guarantee; of CPUs, where it
         is guaranteed GPUs alone, those that come with the GPUs it is owed. Counted as a guarantee
         of nothing, all CPUs of such teams were borrowed, by each from all the others."""
-        gpus = parts(team.gpus)
+        gpus = to_millionths(team.gpus)
         if team.cpus > 0 or not gpus:
-            return parts(team.cpus), gpus
+            return to_millionths(team.cpus), gpus
         total = self.total(team.name)
         beside = total[0] - self.alone.get(team.name, 0)
         return beside if total[1] <= gpus else beside * gpus // total[1], gpus
 
-    def total(self, team: str) -> Amount:
+    def total(self, team: str) -> ResourceAmount:
         """All that a team claims."""
         return self.totals.get(team, ZERO)
 
-    def level(self, team: str) -> int:
+    def borrowing_level(self, team: str) -> int:
         """How much a team borrows for the size of its guarantee, in powers of two: what is unused
         is shared so, within a factor of two, among work of equal standing. A team without a
         guarantee counts with a part of the smallest there is: last, but never nothing."""
@@ -92,24 +92,24 @@
         if known is None:
             return 0
         out = 0.0
-        for n, owed in enumerate(self.entitled(known)):
+        for n, owed in enumerate(self.entitlement(known)):
             weight = owed or self.least[n]
             if weight:
                 out = max(out, (self.total(team)[n] - owed) / weight)
         return int(log2(1 + out)) if out > 0 else 0
 
-    def borrowers(self, team: str) -> dict[str, Amount]:
+    def borrowers(self, team: str) -> dict[str, ResourceAmount]:
         """Other teams that claim more than their guarantees, and by how much."""
         out = {}
         for name, total in self.totals.items():
             known = self.teams.get(name)
             if name != team and known is not None:
-                over = minus(total, self.entitled(known))
+                over = minus(total, self.entitlement(known))
                 if over[0] > 0 or over[1] > 0:
                     out[name] = most(ZERO, over)
         return out
 
-    def sources(self, team: str, lack: Amount) -> dict[str, Amount]:
+    def reclaim_sources(self, team: str, lack: ResourceAmount) -> dict[str, ResourceAmount]:
         """Who gives how much of what a team is owed: in proportion to what they borrow, and no more
         than that. Rounded down; what that leaves comes from whoever borrows most."""
         borrowers = self.borrowers(team)
@@ -126,11 +126,11 @@
                 rest -= more
         return {name: (p[0], p[1]) for name, p in found.items() if p != [0, 0]}
 
-    def part(self, shard: str, team: str, lack: Amount) -> Amount:
+    def reclaim_from_shard(self, shard: str, team: str, lack: ResourceAmount) -> ResourceAmount:
         """What of a team's lack is to come from a shard: of what each borrower gives, as much as
         the shard has of that borrower's claims."""
         out = ZERO
-        for name, amount in self.sources(team, lack).items():
+        for name, amount in self.reclaim_sources(team, lack).items():
             here, total = self.claimed[name].get(shard, ZERO), self.totals[name]
             share = [amount[n] * here[n] // total[n] if total[n] else 0 for n in (0, 1)]
             out = plus(out, (share[0], share[1]))
@@ -139,15 +139,17 @@
     def borrowed_by_others(self, team: str) -> tuple[float, float]:
         """CPUs and GPUs that other teams claim beyond their guarantees."""
         over = list(self.borrowers(team).values())
-        return sum(o[0] for o in over) / PARTS, sum(o[1] for o in over) / PARTS
+        return sum(o[0] for o in over) / MILLIONTHS_PER_UNIT, sum(
+            o[1] for o in over
+        ) / MILLIONTHS_PER_UNIT
 
-    def borrowed(self, team: str) -> float:
+    def borrowing_ratio(self, team: str) -> float:
         """What a team claims beyond its guarantee, as a part of that: the larger of its parts of
         CPUs and GPUs. Of a team without a guarantee, its claims in tasks' whole units."""
         known = self.teams.get(team)
         if known is None:
             return 0.0
         out = 0.0
-        for have, mine in zip(self.total(team), self.entitled(known), strict=True):
-            out = max(out, (have - mine) / max(mine, parts(1.0)))
+        for have, mine in zip(self.total(team), self.entitlement(known), strict=True):
+            out = max(out, (have - mine) / max(mine, to_millionths(1.0)))
         return out
