--- a/tests/test_one_task.py
+++ b/tests/test_one_task.py
@@ -147,7 +147,7 @@
     assert [k for k in w.state.keys if k.startswith("s/job/")] == [f"s/job/{SERVICE}"]
     for owner in w.owners.values():
         assert list(owner.jobs) == [SERVICE]
-        assert len(owner.cancels.told) <= 300 and not owner.users.waiting
-        assert not owner.users.reading and not owner.users.next_reading
+        assert len(owner.cancellations.confirmed) <= 300 and not owner.users.waiting_requests
+        assert not owner.users.open_reads and not owner.users.queued_reads
     # Cancelled ones had hardly any start after their users were told.
     assert all(after < 2.0 for _, after in w.late_starts), w.late_starts
--- a/tests/test_reach.py
+++ b/tests/test_reach.py
@@ -194,7 +194,7 @@
             and any(m.tasks for m in o.machines.values() if m.name == one.name)
         )
         machine = owner.machines[one.name]
-        token = max(owner.held[machine.record.shard].term, machine.stamp)
+        token = max(owner.held_shards[machine.record.shard].term, machine.stamp)
         late = [
             {"brand": token, "ride": 1, "orders": [{"verb": "launch", "hand": t, "try": p.attempt}]}
             for t, p in machine.tasks.items()
--- a/tests/test_refused_leader.py
+++ b/tests/test_refused_leader.py
@@ -8,8 +8,8 @@
 import msgspec
 import pytest
 
-from models.cancels import Broken, Mistake, Model
-from sagecove.coordination.effects import Asked, Reply
+from models.cancellations import Broken, Mistake, Model
+from sagecove.coordination.effects import IncomingRequest, Reply
 from sagecove.lab import deployment, models, rules
 from sagecove.lab.deployment import CANCEL_S, LEASE_S, job, settings
 from sagecove.lab.world import World
@@ -20,7 +20,7 @@
 KEPT = "run-000002"
 
 
-def leader(w: World, job_id: str = DOOMED) -> str:
+def node_with_most_tasks(w: World, job_id: str = DOOMED) -> str:
     """Who has most tasks of a job."""
     return max(w.owners, key=lambda n: len(w.owners[n].jobs[job_id].placed))
 
@@ -110,7 +110,7 @@
     way: Callable[[World, str, list[str]], None], shape: str, nodes: int
 ) -> None:
     w = world(nodes, **SHAPES[shape])
-    lead = leader(w)
+    lead = node_with_most_tasks(w)
     starts = len(w.starts)
     way(w, lead, [n for n in sorted(w.owners) if n != lead])
     confirmed = w.now
@@ -127,7 +127,7 @@
     w.run(2 * LEASE_S)
     assert w.running(KEPT) == 2 * nodes
     assert [s for s in w.starts[starts:] if s[1].startswith(KEPT)] == []
-    assert not any(o.cancels.withheld for o in w.owners.values())
+    assert not any(o.cancellations.withheld for o in w.owners.values())
 
 
 @pytest.mark.parametrize("between", [0.0, 0.3, 0.8, 2.0, 4.0, 7.0])
@@ -136,7 +136,7 @@
     w = world()
     for number in (1, 2):
         doomed = f"run-{number:06d}"
-        lead = leader(w, doomed)
+        lead = node_with_most_tasks(w, doomed)
         other = next(n for n in w.owners if n != lead)
         w.state.refused.add(lead)
         w.run(0.2)
@@ -154,7 +154,7 @@
 @pytest.mark.parametrize("back_s", [0.05, 0.9])
 def test_who_confirmed_ends_and_is_back_before_it_promises(back_s: float) -> None:
     w = world()
-    lead = leader(w)
+    lead = node_with_most_tasks(w)
     other = next(n for n in w.owners if n != lead)
     w.state.refused.add(lead)
     w.run(0.2)
@@ -172,7 +172,7 @@
     # The leader's workers can't get through to it: their reports and its answers are passed on by
     # the others, which know of the cancellation.
     w = world()
-    lead = leader(w)
+    lead = node_with_most_tasks(w)
     others = [n for n in w.owners if n != lead]
     far = [m.name for m in w.owners[lead].machines.values() if m.record.shard == lead]
     w.part([lead], far)
@@ -189,7 +189,7 @@
     # Nobody can write a token while the state service is down, and the worker is answered all the
     # while by way of another controller: the old launch would be obeyed at the end of the cut.
     w = world()
-    lead = leader(w, KEPT)
+    lead = node_with_most_tasks(w, KEPT)
     others = [n for n in w.owners if n != lead]
     far = [m.name for m in w.owners[lead].machines.values() if m.record.shard == lead]
     # Direct commands are held; reports get through.
@@ -220,7 +220,7 @@
 }
 
 
-def at_ratio(monkeypatch: pytest.MonkeyPatch, ratio: str) -> None:
+def use_deployment_timing(monkeypatch: pytest.MonkeyPatch, ratio: str) -> None:
     """What is played from here on goes by a deployment's own times."""
     for name, value in zip(("REPORT_S", "LEASE_S", "CANCEL_S"), RATIOS[ratio], strict=True):
         for module in (deployment, models, rules):
@@ -237,9 +237,9 @@
     lead_s: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    at_ratio(monkeypatch, ratio)
+    use_deployment_timing(monkeypatch, ratio)
     w = world()
-    lead = leader(w)
+    lead = node_with_most_tasks(w)
     way(w, lead, [n for n in sorted(w.owners) if n != lead])
     w.run(lead_s)
     w.state.outage(True)
@@ -287,14 +287,14 @@
     for name in w.owners[gone].machines:
         w.workers[name].cut = w.workers[name].cut_direct = True
     w.kill(gone)
-    w.until(lambda: any(gone in w.owners[n].held for n in (lead, other)), 30)
-    if gone not in w.owners[lead].held:
+    w.until(lambda: any(gone in w.owners[n].held_shards for n in (lead, other)), 30)
+    if gone not in w.owners[lead].held_shards:
         lead, other = other, lead
     w.state.refused.add(lead)
     w.run(0.2)
     persist(w, other)
     w.run(1.5)
-    assert DOOMED in w.owners[lead].cancels.withheld
+    assert DOOMED in w.owners[lead].cancellations.withheld
     far = [k for k in w.workers.values() if k.cut]
     assert any(t.startswith(DOOMED) for k in far for t in k.live())
     for worker in far:
@@ -309,7 +309,7 @@
     owner = w.owners[node]
     told: list[Any] = []
     body = msgspec.json.encode(Hint(fields.pop("asker", "n1"), applied=applied, **fields))
-    effects = owner.handle([Asked("POST", "/hint", body, "x", True)], w.now, w.now)
+    effects = owner.handle([IncomingRequest("POST", "/hint", body, "x", True)], w.now, w.now)
     told = [e.body for e in effects if isinstance(e, Reply) and e.exchange == "x"]
     assert isinstance(told[0], Promise)
     return told[0]
@@ -326,9 +326,9 @@
     assert promise_of(w, "n0", w.owners["n0"].mirror.applied).cancelled == []
     assert promise_of(w, "n0", before, asker="n9") == Promise()
     # More than is remembered: only who has read as far is covered.
-    cancels = w.owners["n0"].cancels
+    cancels = w.owners["n0"].cancellations
     for n in range(400):
-        cancels.tell(f"run-x{n}", told.cancels + n)
+        cancels.record_confirmed(f"run-x{n}", told.cancels + n)
     many = promise_of(w, "n0", before)
     assert many.floor is not None and many.floor > told.cancels and many.cancels >= many.floor
     assert len(msgspec.json.encode(many)) < 64 * 1024
@@ -376,7 +376,7 @@
     owner = w.owners["n0"]
     given = owner.leadership.given_until
     for _ in range(3):
-        ask = Asked("POST", "/hint", body, "odd", True)
+        ask = IncomingRequest("POST", "/hint", body, "odd", True)
         effects = owner.handle([ask], w.now, w.now)
         told = [e for e in effects if isinstance(e, Reply) and e.exchange == "odd"]
         assert [e.status for e in told] == ([200] if b"n9" in body else [400])
@@ -392,7 +392,7 @@
     w = world()
     owner = w.owners["n0"]
     applied = owner.mirror.applied
-    for cancels, more in ((applied + 1, 0.0), (applied, owner.leadership.length)):
+    for cancels, more in ((applied + 1, 0.0), (applied, owner.leadership.lease_s)):
         until = owner.leadership.acting_until()
         for peer in owner.settings.peers:
             # However long it is, it counts for no more than a length of one's own.
@@ -404,18 +404,18 @@
 
 def test_what_a_peer_says_wrongly_is_put_right_by_the_state_service() -> None:
     w = world()
-    lead = leader(w)
+    lead = node_with_most_tasks(w)
     w.state.refused.add(lead)
     w.run(0.5)
-    w.owners[lead].cancels.stop([DOOMED, KEPT, "run-999999", "no name", ""])
+    w.owners[lead].cancellations.stop([DOOMED, KEPT, "run-999999", "no name", ""])
     w.run(3)
-    assert set(w.owners[lead].cancels.withheld) == {DOOMED, KEPT}
+    assert set(w.owners[lead].cancellations.withheld) == {DOOMED, KEPT}
     # It tells no user by it.
     assert w.user(lead, "GET", f"/api/jobs/{DOOMED}")[0] == 503
     w.state.refused.clear()
     w.run(20)
     assert w.running(DOOMED) == w.specs[DOOMED]["hands"] and w.running(KEPT) == 6
-    assert not w.owners[lead].cancels.withheld
+    assert not w.owners[lead].cancellations.withheld
 
 
 def test_the_bound_fits_into_cancel_s_for_all_settings_taken() -> None:
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -57,7 +57,7 @@
 
 def holders(w: World) -> set[str]:
     """Controllers that act for their own shard."""
-    return {n for n, o in w.owners.items() if n in o.shards.acting_shards(w.now)}
+    return {n for n, o in w.owners.items() if n in o.shards.active_shards(w.now)}
 
 
 def test_a_shard_that_another_took_last_is_waited_for() -> None:
@@ -69,8 +69,8 @@
     w.run(5)
     lease_s = w.owners["n0"].settings.lease_s
     w.kill("n0")
-    w.until(lambda: any("n0" in o.held for o in w.owners.values()), 3 * lease_s)
-    taker = next(n for n, o in w.owners.items() if "n0" in o.held)
+    w.until(lambda: any("n0" in o.held_shards for o in w.owners.values()), 3 * lease_s)
+    taker = next(n for n, o in w.owners.items() if "n0" in o.held_shards)
     w.kill(taker)
     w.run(1.1 * lease_s)
     # The third one is refused, so that nobody takes the shard meanwhile.
@@ -82,6 +82,6 @@
     record = w.state.keys["s/last/n0"][0]
     assert record["node"] in (taker, third)
     if record["node"] == taker:
-        assert "n0" not in w.owners["n0"].held
+        assert "n0" not in w.owners["n0"].held_shards
     w.state.refused.clear()
-    w.until(lambda: "n0" in w.owners["n0"].held, 3 * lease_s)
+    w.until(lambda: "n0" in w.owners["n0"].held_shards, 3 * lease_s)
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from sagecove.coordination.model import JobRun, Machine
-from sagecove.coordination.placement import dearness, plan
-from sagecove.coordination.provision import Coming, Fleet
+from sagecove.coordination.placement import plan_placements, price_class
+from sagecove.coordination.provisioner import ExpectedFleet, ExpectedMachine
 from sagecove.lab.deployment import TYPES, job
 from sagecove.lab.world import World
 from sagecove.protocol import state as wire
@@ -26,9 +26,9 @@
 
 def machine(name: str, kind: str, spot: bool = False) -> Machine:
     m = Machine(name, MachineRecord(kind, "a", spot, "n0"), 1, 0.0)
-    m.kind = KINDS[kind]
-    m.dear = dearness(m.kind, spot, 0.05)
-    m.known = True
+    m.machine_type = KINDS[kind]
+    m.price_class = price_class(m.machine_type, spot, 0.05)
+    m.tasks_known = True
     return m
 
 
@@ -103,7 +103,7 @@
     small = [machine(f"s{n}", "small") for n in range(3)]
     dear = [machine(f"d{n}", "gpu") for n in range(3)]
     run = run_of(hands=10)
-    planned = plan(run, list(range(10)), small + dear, Random(1), {})
+    planned = plan_placements(run, list(range(10)), small + dear, Random(1), {})
     names = [m.name for _, m in planned]
     assert sorted(names[:6]) == ["s0", "s0", "s1", "s1", "s2", "s2"]
     assert len(set(names[6:])) == 1
@@ -111,17 +111,17 @@
 
 
 def test_machines_to_come_are_filled_group_by_group() -> None:
-    fleet = Fleet(2.0)
+    fleet = ExpectedFleet(2.0)
     for n in range(100):
-        fleet.add(Coming.of(machine(f"s{n}", "small", spot=n % 2 == 0)))
+        fleet.add(ExpectedMachine.from_machine(machine(f"s{n}", "small", spot=n % 2 == 0)))
     spot = run_of(hands=60, borrowed=True).spec
-    assert fleet.fill(spot, 60, None, {}) == 60
+    assert fleet.place(spot, 60, None, {}) == 60
     steady = run_of(hands=200).spec
-    assert fleet.fill(steady, 200, None, {}) <= 100
-    assert fleet.fill(steady, 1, None, {}) == 0
+    assert fleet.place(steady, 200, None, {}) <= 100
+    assert fleet.place(steady, 1, None, {}) == 0
     half = run_of(hands=4, scatter=True).spec
-    fleet.add(Coming.of(machine("x", "gpu")))
-    assert fleet.fill(half, 4, None, {}) == 2
+    fleet.add(ExpectedMachine.from_machine(machine("x", "gpu")))
+    assert fleet.place(half, 4, None, {}) == 2
 
 
 def test_a_gang_of_many_machines_finds_them_in_one_shard() -> None:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -7,8 +7,8 @@
 from hypothesis import strategies as st
 from msgspec import convert
 
-from sagecove.coordination.model import JobRun, Placement, standing
-from sagecove.coordination.stopping import may_stop
+from sagecove.coordination.model import JobRun, Placement, fixed_precedence
+from sagecove.coordination.preemption_policy import may_stop
 from sagecove.lab.deployment import job
 from sagecove.lab.world import World
 from sagecove.protocol.users import Job
@@ -19,7 +19,7 @@
 
 def run_of(rank: str, within: bool, **fields: Any) -> JobRun:
     run = JobRun(JobRecord(convert(job(1, rank=rank, **fields), Job), 0.0), 1)
-    run.within = within
+    run.within_guarantee = within
     return run
 
 
@@ -51,7 +51,7 @@
     first = run_of(mine, within)
     victim = run_of(other, other_within, outfit="red" if same_team else "blue")
     if may_stop(first, victim):
-        assert standing(first) < standing(victim)
+        assert fixed_precedence(first) < fixed_precedence(victim)
         lower = victim.priority < first.priority
         assert lower or (within and not other_within and not same_team)
 
@@ -65,15 +65,15 @@
     tasks: list[tuple[float, int]], patience: float
 ) -> None:
     world = World(nodes=1, audit=False)
-    stopping = world.owners["n0"].stopping
+    stopping = world.owners["n0"].preemption_policy
     victim = run_of("low", False, hands=12, reckonS=20.0)
-    victim.stops = {index: count for index, (_, count) in enumerate(tasks) if count}
+    victim.stop_counts = {index: count for index, (_, count) in enumerate(tasks) if count}
     placements = []
     for index, (ran, _) in enumerate(tasks):
         placement = Placement(victim, index, f"run-000001/{index}", 1, None)  # type: ignore[arg-type]
         placement.started_at = world.owners["n0"].now - ran
         placements.append(placement)
-    run = world.owners["n0"].learning.expected(victim)
+    run = world.owners["n0"].estimates.expected_run_s(victim)
     worth, soon = stopping.sort(patience, victim, placements)
     assert len(worth) + soon <= len(placements)
     for placement in worth:
@@ -114,7 +114,7 @@
 
 def test_a_task_that_was_stopped_is_spared_the_longer() -> None:
     world = World(nodes=1, audit=False)
-    stopping = world.owners["n0"].stopping
+    stopping = world.owners["n0"].preemption_policy
     victim = run_of("low", False, hands=1, reckonS=30.0)
     placement = Placement(victim, 0, "run-000001/0", 1, None)  # type: ignore[arg-type]
     placement.started_at = world.owners["n0"].now
--- a/tests/test_stories.py
+++ b/tests/test_stories.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from sagecove.coordination.effects import Answered, Asked, Call, Reply
+from sagecove.coordination.effects import CallResult, IncomingRequest, OutgoingCall, Reply
 from sagecove.lab.deployment import job
 from sagecove.lab.world import World, standing, with_machines
 
@@ -131,7 +131,7 @@
     world.kill("n0")
     world.run(3)
     world.boot_node(0)
-    world.until(lambda: "n0" in world.owners["n0"].held, 3)
+    world.until(lambda: "n0" in world.owners["n0"].held_shards, 3)
     world.run(20)
     assert world.running("run-000001") == 4
     assert len(world.starts) == starts
@@ -154,12 +154,12 @@
     world.until(lambda: world.running("run-000001") == 4, 40)
     name, owner = next((n, o) for n, o in world.owners.items() if o.jobs["run-000001"].placed)
     machine = next(m for m in owner.machines.values() if m.tasks)
-    token = max(owner.held[machine.record.shard].term, machine.stamp)
+    token = max(owner.held_shards[machine.record.shard].term, machine.stamp)
     late = {"brand": token, "ride": 1, "orders": [{"verb": "launch", "hand": "x/0", "try": 1}]}
     world.state.refused.add(name)
     world.cut_links.add((name, "state"))
     world.run(40)
-    assert not owner.shards.acting_shards(world.now)
+    assert not owner.shards.active_shards(world.now)
     worker = world.workers[machine.name]
     assert worker.commands(late)[0] == 409
     assert world.running("run-000001") == 4
@@ -212,8 +212,8 @@
     world.state.refused |= {"n0", "n1"}
     world.cut_links |= {("n0", "state"), ("n1", "state")}
     world.run(20)
-    assert not world.owners["n0"].shards.acting_shards(world.now)
-    assert set(world.owners["n2"].held) == {"n0", "n1", "n2"}
+    assert not world.owners["n0"].shards.active_shards(world.now)
+    assert set(world.owners["n2"].held_shards) == {"n0", "n1", "n2"}
 
 
 def test_a_cancellation_the_holder_missed_ends_its_promises(world: World) -> None:
@@ -237,12 +237,12 @@
     world.kill("n1")
     world.boot_node(1)
     world.state.refused = {"n0", "n2"}
-    lease = world.owners["n0"].leadership.lease
-    assert lease is not None and world.owners["n0"].leadership.promised_until > world.now
+    lease = world.owners["n0"].leadership.lease_id
+    assert lease is not None and world.owners["n0"].leadership.promises_until > world.now
     world.state.end(lease)
     begun = world.now
-    world.until(lambda: "n0" in world.owners["n1"].held, 40)
-    assert world.now - begun >= world.owners["n1"].leadership.length * 0.9
+    world.until(lambda: "n0" in world.owners["n1"].held_shards, 40)
+    assert world.now - begun >= world.owners["n1"].leadership.lease_s * 0.9
 
 
 def test_limits_hold_over_a_restart_with_a_silent_machine(world: World) -> None:
@@ -368,18 +368,22 @@
     def ask() -> list[Any]:
         path = "/api/jobs/run-000001"
         reply = lambda status, body: answers.append(status)  # noqa: E731
-        return [Asked("GET", path, b"", reply)]
+        return [IncomingRequest("GET", path, b"", reply)]
 
     world.run(1)
     now = world.now
-    first = [e for e in owner.handle(ask(), now, now) if isinstance(e, Call) and "/watch" in e.path]
+    first = [
+        e
+        for e in owner.handle(ask(), now, now)
+        if isinstance(e, OutgoingCall) and "/watch" in e.path
+    ]
     assert len(first) == 1
     # The clock has not moved on, but the read has been sent already.
     owner.handle(ask(), now, now)
     body = b'{"ledger":%d,"events":[]}' % owner.mirror.applied
-    effects = owner.handle([Answered(first[0].token, 200, body)], now, now)
+    effects = owner.handle([CallResult(first[0].token, 200, body)], now, now)
     assert len([e for e in effects if isinstance(e, Reply)]) == 1
-    assert len(owner.users.waiting) == 1
+    assert len(owner.users.waiting_requests) == 1
 
 
 def test_spot_notice_saves_what_can_save_and_places_nothing_more() -> None:
--- a/tests/test_sweeps.py
+++ b/tests/test_sweeps.py
@@ -370,10 +370,12 @@
     spec = {**inline(vcpus=1.0), "nameId": "run-late"}
     w.submit("n0", spec)
     w.run(1)
-    assert all(not owner.jobs["run-late"].within for owner in w.owners.values())
+    assert all(not owner.jobs["run-late"].within_guarantee for owner in w.owners.values())
     assert all(len(owner.jobs) < 450 for owner in w.owners.values())
     first = [
-        owner.jobs["run-s.p0"].within for owner in w.owners.values() if "run-s.p0" in owner.jobs
+        owner.jobs["run-s.p0"].within_guarantee
+        for owner in w.owners.values()
+        if "run-s.p0" in owner.jobs
     ]
     assert first and all(first)
 
@@ -460,5 +462,5 @@
     sweep.scanned = 0
     spec = next(iter(owner.jobs.values())).spec
     sweep.group(spec)
-    assert all(load[3] >= 0 for load in owner.features[0].loads())
+    assert all(load[3] >= 0 for load in owner.features[0].unfinished_work())
     w.until(lambda: over(w), 120)
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from sagecove.coordination.claims.releasing import Doubt
-from sagecove.coordination.effects import Asked, Reply
+from sagecove.coordination.claims.releaser import UnconfirmedRelease
+from sagecove.coordination.effects import IncomingRequest, Reply
 from sagecove.lab.deployment import job
 from sagecove.lab.world import World, standing, with_machines
 
@@ -65,7 +65,7 @@
     world.run(3)
     world.still[name] = world.now + 70.0
     world.run(30)
-    assert name in {s for n, o in world.owners.items() if n != name for s in o.held}
+    assert name in {s for n, o in world.owners.items() if n != name for s in o.held_shards}
     assert len(world.starts) == starts
     # And users are turned away by it, or served by the others; placing goes on.
     world.submit(next(n for n in world.owners if n != name), job(2, hands=4))
@@ -96,7 +96,7 @@
     answers: list[int] = []
     reply = lambda status, body: answers.append(status)  # noqa: E731
     now = world.now + 20
-    effects = owner.handle([Asked("GET", "/ready", b"", reply)], now, now)
+    effects = owner.handle([IncomingRequest("GET", "/ready", b"", reply)], now, now)
     assert [e.status for e in effects if isinstance(e, Reply)] == [503]
 
 
@@ -222,18 +222,18 @@
     world.until(lambda: world.running("run-000001") == 4, 40)
     name = holder_of(world, "run-000001")
     owner = world.owners[name]
-    run, shard = owner.jobs["run-000001"], owner.held[name]
-    lease = owner.leadership.lease
+    run, shard = owner.jobs["run-000001"], owner.held_shards[name]
+    lease = owner.leadership.lease_id
     assert lease is not None
     world.state.end(lease)
-    world.until(lambda: name in owner.held and owner.held[name] is not shard, 20)
+    world.until(lambda: name in owner.held_shards and owner.held_shards[name] is not shard, 20)
     world.until(lambda: len(run.placed) > 0, 5)
     # The answer, or that there is none, comes when the term has changed already.
     index, placement = next(iter(run.placed.items()))
     run.releasing = 1 << index
-    owner.backlog.stir(run)
-    doubt = Doubt(run, shard, dict(run.claims), 1 << index, run.stamp, True)
-    owner.claims.releasing.doubts.append(doubt)
+    owner.backlog.mark_dirty(run)
+    doubt = UnconfirmedRelease(run, shard, dict(run.claims), 1 << index, run.stamp, True)
+    owner.scheduling_pass.releaser.unconfirmed.append(doubt)
     worker = world.workers[placement.machine.name]
     worker.exit(placement.task, placement.attempt, "error")
     world.until(lambda: standing(world, "n0", "run-000001") == "done", 60)
@@ -242,22 +242,22 @@
 def test_a_machine_that_never_comes_up_is_told_by_what_others_took(world: World) -> None:
     # Five times the nominal boot and more was waited for each, and paid for.
     owner = world.owners["n0"]
-    kind = owner.types["small"]
-    assert owner.learning.boot_most_s(kind) == 80.0
+    kind = owner.machine_types["small"]
+    assert owner.estimates.boot_timeout_s(kind) == 80.0
     for name in ["vm-000000", "vm-000001"] * 4:
         machine = owner.machines[name]
         machine.record.shard, machine.record.at = "n0", owner.wall() - 0.5
-        owner.learning.came_up(machine)
-    assert owner.learning.boot_most_s(kind) == 25.0
+        owner.estimates.note_boot_time(machine)
+    assert owner.estimates.boot_timeout_s(kind) == 25.0
     # A slow one is no reason to give up the next that is slow.
     machine.record.at = owner.wall() - 30.0
-    owner.held["n0"].since = owner.now - 40.0
-    owner.learning.came_up(machine)
-    assert 59.0 < owner.learning.boot_most_s(kind) < 61.0
+    owner.held_shards["n0"].held_since = owner.now - 40.0
+    owner.estimates.note_boot_time(machine)
+    assert 59.0 < owner.estimates.boot_timeout_s(kind) < 61.0
     # What was rented before this holder's time says nothing.
     machine.record.at = owner.wall() - 45.0
-    owner.learning.came_up(machine)
-    assert owner.learning.boot_most_s(kind) < 61.0
+    owner.estimates.note_boot_time(machine)
+    assert owner.estimates.boot_timeout_s(kind) < 61.0
 
 
 def test_many_machines_returned_at_once_do_not_fill_the_queue_of_transactions() -> None:
@@ -267,7 +267,7 @@
     for i in range(60):
         w.cloud.start("small", "ab"[i % 2], False)
     w.run(3)
-    sizes = {s: len(m) for s, m in w.owners["n0"].by_shard.items()}
+    sizes = {s: len(m) for s, m in w.owners["n0"].machines_by_shard.items()}
     assert sizes == {"n0": 60}
     owner = w.owners["n0"]
     drops: list[str] = []
@@ -294,7 +294,7 @@
     for i in range(30):
         w.cloud.start("small", "ab"[i % 2], False, 60.0)
     w.run(20)
-    sizes = {s: len(m) for s, m in w.owners["n0"].by_shard.items()}
+    sizes = {s: len(m) for s, m in w.owners["n0"].machines_by_shard.items()}
     assert sizes == {"n0": 10, "n1": 10, "n2": 10}
 
 
@@ -343,7 +343,9 @@
     world.deaf.clear()
     world.state.refused.clear()
     world.run(70)
-    assert {n: set(o.held) for n, o in world.owners.items()} == {n: {n} for n in world.owners}
+    assert {n: set(o.held_shards) for n, o in world.owners.items()} == {
+        n: {n} for n in world.owners
+    }
     assert world.running("run-000001") == 6
     world.submit("n0", job(3, hands=9))
     world.until(lambda: len(world.completed) == 13, 60)
--- a/tests/test_up_at_once.py
+++ b/tests/test_up_at_once.py
@@ -46,7 +46,7 @@
     assert records == {f"s/machine/{name}" for name in w.cloud.machines}
     assert len(w.cloud.machines) <= 8 and w.running(LONG) == 16
     for owner in w.owners.values():
-        for shard, machines in owner.by_shard.items():
+        for shard, machines in owner.machines_by_shard.items():
             assert all(m.record.shard == shard for m in machines.values())
     assert not [key for key in w.state.keys if key.startswith("s/rental/")]
 
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -25,8 +25,8 @@
     run = JobRun(JobRecord(spec, 1.0), 0)
     names = [f"n{n}" for n in range(shards)]
     for _ in range(40):
-        held = run.every & ~run.fin & ~run.unclaimed
-        most = tasks_most(run.record, run.fin, held, shards, value_kb) - held.bit_count()
+        held = run.all_tasks & ~run.finished & ~run.unclaimed
+        most = tasks_most(run.record, run.finished, held, shards, value_kb) - held.bit_count()
         claims = dict(run.claims)
         bits = taskset.lowest(run.unclaimed, max(0, most))
         for index in taskset.members(bits):
@@ -36,11 +36,13 @@
         for index in taskset.members(held | bits):
             if random.random() < 0.5:
                 done |= 1 << index
-        for fin in (run.fin, run.fin | done):
-            run.update(run.with_sets(fin, claims), 0)
+        for fin in (run.finished, run.finished | done):
+            run.apply_record(run.with_sets(fin, claims), 0)
             assert len(msgspec.json.encode(run.record)) <= value_kb * 1024
     # And it is not kept from what any fleet runs of it at a time.
-    assert run.fin.bit_count() > 40 * min(tasks, 300) * 0.4 or run.fin.bit_count() == tasks
+    assert (
+        run.finished.bit_count() > 40 * min(tasks, 300) * 0.4 or run.finished.bit_count() == tasks
+    )
 
 
 @pytest.mark.parametrize("nodes", [3, 9])
