--- a/sagecove/coordination/images.py
+++ b/sagecove/coordination/images.py
@@ -1,7 +1,7 @@
-"""Which machines have an image, are fetching it, or would have to: here and with the others.
+"""Tracks which machines have a container image cached, here and at peers, so that few are fetched.
 
-What a machine has cached is told by no report; it is inferred from the tasks seen running there.
-Nothing but the choice of a machine, and for a moment that of a controller, depends on it.
+No report tells what a machine has cached; it is inferred from the tasks seen running there. Only
+the choice of a machine depends on it, and for a moment that of a controller.
 """
 
 from __future__ import annotations
@@ -21,86 +21,96 @@
 from sagecove.protocol.peers import Warm
 from sagecove.protocol.users import Job
 
-# What a peer has told is of no use after so many seconds: hints come once a second.
-FRESH_S = 2.5
-# Polls for which a job is left to controllers that have its image.
-LEFT_POLLS = 2.0
+# Age at which a peer's free room is out of date: hints come once a second.
+PEER_ROOM_FRESH_S = 2.5
+# Polls for which a new job is left to controllers that have its image.
+LEFT_TO_PEERS_POLL_COUNT = 2.0
 
 
-def used(machine: Machine, spec: Job) -> None:
-    """A task with this image has it now: the machine keeps what was used last, as far as its cache
-    goes, and what its tasks use."""
+def record_image_use(machine: Machine, spec: Job) -> None:
+    """Record that a machine has an image cached, as a task uses it there.
+
+    The machine keeps the images that were used last, up to the size of its cache, and those that
+    its tasks use.
+    """
     machine.images.pop(spec.image, None)
     machine.images[spec.image] = spec.image_gb
-    most = machine.machine_type.cache_gb if machine.machine_type is not None else 0.0
-    held = sum(machine.images.values())
-    if held <= most:
+    cache_gb = machine.machine_type.cache_gb if machine.machine_type is not None else 0.0
+    cached_gb = sum(machine.images.values())
+    if cached_gb <= cache_gb:
         return
-    busy = {p.job.spec.image for p in machine.tasks.values() if p.takes_room and p.job is not None}
-    for image in [i for i in machine.images if i not in busy and i != spec.image]:
-        if held <= most:
+    in_use = {
+        p.job.spec.image for p in machine.tasks.values() if p.takes_room and p.job is not None
+    }
+    for image in [i for i in machine.images if i not in in_use and i != spec.image]:
+        if cached_gb <= cache_gb:
             break
-        held -= machine.images.pop(image)
+        cached_gb -= machine.images.pop(image)
 
 
 class Images:
-    """Room beside images: on machines of shards held here, and as others tell."""
+    """Free room on machines that have an image cached, on own shards and as told by peers."""
 
-    def __init__(self, desk: OwnerContext, ledger: Ledger) -> None:
-        self.desk = desk
+    def __init__(self, context: OwnerContext, ledger: Ledger) -> None:
+        self.context = context
         self.ledger = ledger
-        self.poll_s = desk.settings.poll_s
-        # By peer: what it told last, and when.
-        self.told: dict[str, tuple[list[Warm], float]] = {}
+        self.poll_s = context.settings.poll_s
+        # By peer: its free room by image as last received, and when that was.
+        self.peer_rooms: dict[str, tuple[list[Warm], float]] = {}
 
     def fetch_s(self, spec: Job) -> float:
-        """How long a machine takes to fetch a job's image, by itself (seconds)."""
+        """How long a machine takes to fetch a job's image, with no other fetch beside it."""
         rates = [
             t.fetch_gb_per_s
-            for t in self.desk.machine_types.values()
+            for t in self.context.machine_types.values()
             if t.fetch_gb_per_s > 0 and type_allowed(spec, t)
         ]
         return spec.image_gb / max(rates) if rates else 0.0
 
     def free_room_by_image(self) -> list[Warm]:
-        """Free room of shards held here by image, zone and kind, to be told to peers. Images that
-        are fetched within a poll are left out."""
+        """Free room on shards held here by image, zone and spot or on-demand, for peers.
+
+        Images that are fetched within a poll are left out.
+        """
         found: dict[tuple[str, str, bool], list[float]] = {}
-        for shard in self.desk.held_shards:
+        for shard in self.context.held_shards:
             for machine in self.ledger.machines_with_room(shard):
-                kind, record = machine.machine_type, machine.record
-                if kind is None:
+                machine_type, record = machine.machine_type, machine.record
+                if machine_type is None:
                     continue
                 cpus, gpus, _ = machine.free_room()
-                least = self.poll_s * kind.fetch_gb_per_s
-                for image, size in machine.images.items():
-                    if size >= least:
+                min_image_gb = self.poll_s * machine_type.fetch_gb_per_s
+                for image, image_gb in machine.images.items():
+                    if image_gb >= min_image_gb:
                         room = found.setdefault((image, record.zone, record.spot), [0.0, 0.0])
                         room[0] += cpus
                         room[1] += gpus
         return [Warm(*key, round(cpus, 3), gpus) for key, (cpus, gpus) in found.items()]
 
     def update_peer(self, now: float, node: str, warm: list[Warm]) -> None:
-        """All that a peer has free beside images."""
-        self.told[node] = warm, now
+        """Replace what is known of a peer's free room by image."""
+        self.peer_rooms[node] = warm, now
+
+    def peer_has_room(self, job: JobRun, count: int) -> bool:
+        """Tell whether a peer has room for `count` tasks of a job on machines with its image.
 
-    def elsewhere(self, job: JobRun, count: int) -> bool:
-        """A peer has room for so many tasks of a job beside its image, in one zone if need be."""
+        If the job is restricted to one zone, so is the room.
+        """
         spec = job.spec
-        for warm, at in self.told.values():
-            if self.desk.now - at > FRESH_S:
+        for rooms, received_at in self.peer_rooms.values():
+            if self.context.now - received_at > PEER_ROOM_FRESH_S:
                 continue
             zones: dict[str, list[float]] = {}
-            for one in warm:
+            for warm in rooms:
                 if (
-                    one.image != spec.image
-                    or (one.spot and not spec.spot)
-                    or spec.zone not in (None, one.zone)
+                    warm.image != spec.image
+                    or (warm.spot and not spec.spot)
+                    or spec.zone not in (None, warm.zone)
                 ):
                     continue
-                room = zones.setdefault(one.zone if spec.one_zone else "", [0.0, 0.0])
-                room[0] += one.cpus
-                room[1] += one.gpus
+                room = zones.setdefault(warm.zone if spec.one_zone else "", [0.0, 0.0])
+                room[0] += warm.cpus
+                room[1] += warm.gpus
             for cpus, gpus in zones.values():
                 if (
                     cpus + ROOM_EPSILON >= count * spec.cpus
@@ -109,8 +119,13 @@
                     return True
         return False
 
-    def room(self, job: JobRun, machines: Iterable[Machine], promised: RoomByMachine) -> int:
-        """How many tasks of a job fit beside its image on machines, in one zone if need be."""
+    def tasks_fitting_beside_image(
+        self, job: JobRun, machines: Iterable[Machine], promised: RoomByMachine
+    ) -> int:
+        """Count the tasks of a job that fit on those of the machines that have its image.
+
+        If the job is restricted to one zone, the zone with the most counts.
+        """
         zones: dict[str, int] = {}
         for machine in machines:
             if (
@@ -126,20 +141,23 @@
     def count_left_to_peers(
         self, job: JobRun, machines: Iterable[Machine], promised: RoomByMachine, count: int
     ) -> int:
-        """How many of `count` tasks of a new job this controller should leave to others for a
-        moment: those it would have to fetch the image for, if another has room beside it. A fetch
-        takes many times what the job loses if nobody takes it: a gang's images of 9 GB and more
-        take over 20 s, and it was claimed by whomever its user happened to ask. Not of arrays:
-        they are claimed bit by bit wherever something comes free, and room told of is gone by the
-        time it is heard; ten teams that claimed their guarantees at once waited for each other."""
+        """Count the tasks, of `count` of a new job, that are left to other controllers for a while.
+
+        These are the tasks whose image would have to be fetched here while a peer has room on
+        machines that have it. A fetch takes many times what the job loses if no peer claims it: a
+        gang's image of 9 GB and more takes over 20 s, and without this rule the gang was claimed by
+        whichever controller its user happened to ask. Arrays are never left: they are claimed task
+        by task wherever room comes free, and the room in a hint is gone by the time it arrives; ten
+        teams that claimed their guarantees at once waited for each other.
+        """
         if (
             job.array
-            or self.desk.now - job.first_seen_at >= LEFT_POLLS * self.poll_s
-            or len(self.desk.settings.nodes) < 2
+            or self.context.now - job.first_seen_at >= LEFT_TO_PEERS_POLL_COUNT * self.poll_s
+            or len(self.context.settings.nodes) < 2
             or self.fetch_s(job.spec) < self.poll_s
         ):
             return 0
-        lacking = count - self.room(job, machines, promised)
-        if lacking <= 0 or not self.elsewhere(job, count if job.claimed_whole else 1):
+        missing = count - self.tasks_fitting_beside_image(job, machines, promised)
+        if missing <= 0 or not self.peer_has_room(job, count if job.claimed_whole else 1):
             return 0
-        return count if job.claimed_whole else lacking
+        return count if job.claimed_whole else missing
--- a/sagecove/coordination/inventory.py
+++ b/sagecove/coordination/inventory.py
@@ -1,4 +1,4 @@
-"""Machines as their records tell: they come, change their shards, and go."""
+"""Keeps the owner's tables of machines in step with their records in the state service."""
 
 from __future__ import annotations
 
@@ -9,88 +9,94 @@
 from sagecove.coordination.model import Machine
 from sagecove.coordination.placement import price_class
 from sagecove.protocol.cloud import MachineType
-from sagecove.storage import records as r
+from sagecove.storage import records
 from sagecove.storage.mirror import Event
 
 
-class Forgetting(Protocol):
-    """What workers have said."""
+class WorkerTables(Protocol):
+    """What is known about machines from their workers' reports."""
 
-    # Machines that are gone, and since when.
+    # By machine name: when its record was deleted.
     deleted_at: dict[str, float]
 
-    def forget_tasks(self, machine: Machine, why: str) -> None:
-        """All that was on a machine is gone."""
+    def forget_tasks(self, machine: Machine, reason: str) -> None:
+        """Drop all tasks of a machine, as they are gone."""
 
 
-class Resolving(Protocol):
-    """Machines that an earlier holder knew."""
+class MachineResolver(Protocol):
+    """Machines on which tasks of an earlier holder may still run."""
 
     def resolve_machine(self, machine: Machine) -> None:
-        """What an earlier holder may have left on this machine is known."""
+        """Record that the tasks an earlier holder left on this machine are known."""
 
 
 class Inventory:
-    """The tables of machines."""
+    """The tables of machines and machine types."""
 
     def __init__(
-        self, desk: OwnerContext, ledger: Ledger, workers: Forgetting, shards: Resolving
+        self,
+        context: OwnerContext,
+        ledger: Ledger,
+        workers: WorkerTables,
+        shards: MachineResolver,
     ) -> None:
-        self.desk = desk
+        self.context = context
         self.ledger = ledger
         self.workers = workers
         self.shards = shards
         # Machines that are to be deleted.
         self.leaving: dict[str, Machine] = {}
-        # The cheapest ordinary price for a CPU.
+        # The lowest on-demand price per CPU of any machine type.
         self.lowest_cpu_price = 0.0
 
     def types_changed(self, types: list[MachineType]) -> None:
-        """The cloud has told its machine types."""
-        self.desk.machine_types.clear()
-        self.desk.machine_types.update((t.name, t) for t in types)
+        """Replace the machine types by those the cloud offers now."""
+        self.context.machine_types.clear()
+        self.context.machine_types.update((t.name, t) for t in types)
         self.lowest_cpu_price = min((t.price / max(t.cpus, 0.1) for t in types), default=0)
-        for machine in self.desk.machines.values():
-            self._set_kind(machine)
+        for machine in self.context.machines.values():
+            self._set_machine_type(machine)
 
     def machine_changed(self, name: str, event: Event) -> None:
-        """A machine's record has changed."""
-        machine = self.desk.machines.get(name)
+        """Apply a change of a machine's record."""
+        machine = self.context.machines.get(name)
         if event.value is None:
             if machine is not None:
-                # Its deletion was answered by the cloud: it is gone, and all that was on it.
-                del self.desk.machines[name]
+                # The cloud has confirmed the deletion: the machine and all its tasks are gone.
+                del self.context.machines[name]
                 self.leaving.pop(name, None)
-                self.desk.machines_by_shard.get(machine.record.shard, {}).pop(name, None)
-                self.workers.deleted_at[name] = self.desk.now
+                self.context.machines_by_shard.get(machine.record.shard, {}).pop(name, None)
+                self.workers.deleted_at[name] = self.context.now
                 machine.tasks_known = False
                 self.workers.forget_tasks(machine, "gone")
                 self.shards.resolve_machine(machine)
                 self.ledger.update_machine(machine)
             return
-        record: r.MachineRecord = event.value
+        record: records.MachineRecord = event.value
         if machine is None:
-            machine = Machine(name, record, event.stamp, self.desk.now)
-            self.desk.machines[name] = machine
+            machine = Machine(name, record, event.stamp, self.context.now)
+            self.context.machines[name] = machine
         else:
             if machine.record.shard != record.shard:
-                self.desk.machines_by_shard.get(machine.record.shard, {}).pop(name, None)
+                self.context.machines_by_shard.get(machine.record.shard, {}).pop(name, None)
                 self.ledger.detach_machine(machine)
                 machine.record = record
-                machine.reset(self.desk.now)
+                machine.reset(self.context.now)
             machine.record = record
             machine.stamp = event.stamp
             machine.handing_over = False
-        self._set_kind(machine)
-        self.desk.machines_by_shard.setdefault(record.shard, {})[name] = machine
+        self._set_machine_type(machine)
+        self.context.machines_by_shard.setdefault(record.shard, {})[name] = machine
         if record.leaving:
             self.leaving[name] = machine
         else:
             self.leaving.pop(name, None)
         self.ledger.update_machine(machine)
 
-    def _set_kind(self, machine: Machine) -> None:
-        machine.machine_type = kind = self.desk.machine_types.get(machine.record.type)
-        if kind is not None:
-            machine.price_class = price_class(kind, machine.record.spot, self.lowest_cpu_price)
+    def _set_machine_type(self, machine: Machine) -> None:
+        machine.machine_type = machine_type = self.context.machine_types.get(machine.record.type)
+        if machine_type is not None:
+            machine.price_class = price_class(
+                machine_type, machine.record.spot, self.lowest_cpu_price
+            )
         self.ledger.update_machine(machine)
--- a/sagecove/coordination/reachability.py
+++ b/sagecove/coordination/reachability.py
@@ -1,15 +1,17 @@
-"""What shows that a machine takes in what it is told, and that what it tells is from now.
-
-A report proves neither: answers may be lost on their way, and a report may be a late copy. What a
-worker shows to have taken in counts: a launched task, a token, a session that goes on.
-
-- *Deaf*: launches that answers to three reports in a row carried are not in the report after. From
-  then on nothing is placed there and nothing answered for as long as a lease takes to end, so that
-  what is on it, or may be, is gone for sure. A session that goes on for longer than a lease shows
-  that answers arrive again.
-- *Old*: a report that looks older than one already seen is a late copy, or the worker has begun
-  anew. Only an answer to a request that is sent now tells (`GET /show`). A worker that began anew
-  has lost its tasks, and takes any token: none is used on it that a launch under way may have.
+"""Detects workers that don't receive this controller's answers, and reports that are out of date.
+
+A report proves neither that answers arrive nor that it was sent just now: answers may be lost on
+their way, and a report may be a delayed copy. What proves that answers arrive is their visible
+effect: a launched task, an adopted token, a session that goes on.
+
+- *Unreachable machines*: launches carried by the answers to three reports in a row don't show in
+  the reports after them. From then on nothing is placed on the machine, and its reports are not
+  answered until its lease has surely expired, so that every task that is or may be on it is gone.
+  A session that outlives a lease shows that answers arrive again.
+- *Old reports*: a report that looks older than one already seen is a delayed copy, or the worker
+  has restarted. Only the answer to a request that is sent now decides which (`GET /show`). A
+  restarted worker has lost its tasks and accepts any token, so no token is used on it that a launch
+  still under way may carry.
 """
 
 from __future__ import annotations
@@ -20,62 +22,66 @@
 
 from sagecove.coordination.interfaces import BaseContext, ResponseCallback
 from sagecove.coordination.model import LAUNCH_SENT, Machine, Placement
-from sagecove.protocol import workers as w
+from sagecove.protocol import workers as worker_protocol
 from sagecove.storage.store import decode
 
 log = logging.getLogger("sagecove.reach")
 
-# Reports in a row whose answers were not taken in.
-UNECHOED = 3
-# A machine that has been deaf for so many leases is returned.
-RETURN_LEASES = 4.0
+# Answers without effect, in a row, after which a machine counts as unreachable.
+MAX_MISSED_ANSWERS_COUNT = 3
+# A machine that has been unreachable for more leases than this is returned.
+RETURN_AFTER_LEASES_COUNT = 4.0
 
 
-class Calling(BaseContext, Protocol):
-    """Calls to machines."""
+class CallContext(BaseContext, Protocol):
+    """The owner's tables, and calls to machines."""
 
     def call(
         self, target: str, method: str, path: str, body: Any, timeout: float, done: ResponseCallback
     ) -> None:
-        """Emit a call; `done` hears its answer."""
+        """Send a request; `done` is called with its response."""
 
 
-class Reach:
-    """Machines that do not hear, and reports that look old."""
+class Reachability:
+    """Tracks unreachable machines and checks reports that look out of date."""
 
     def __init__(
         self,
-        desk: Calling,
-        lease_over: float,
-        halt: Callable[[Placement, float, str], None],
+        context: CallContext,
+        lease_expiry_s: float,
+        stop_task: Callable[[Placement, float, str], None],
     ) -> None:
-        self.desk = desk
-        self.pace = desk.settings.params.workers
-        # After the last answer, a worker's lease has run out for sure.
-        self.lease_over = lease_over
-        self.halt = halt
-        self.deaf: dict[str, Machine] = {}
-
-    # -- deaf -----------------------------------------------------------------------------------
-
-    def new_session(self, now: float, machine: Machine) -> None:
-        """A later session has begun, though this controller has been answering: was it heard?"""
-        if now - machine.last_answer_at < 0.75 * self.pace.lease_s and machine.session_started_at:
-            self._unechoed(now, machine)
+        self.context = context
+        self.worker_settings = context.settings.params.workers
+        # This long after the last answer a worker's lease has surely expired.
+        self.lease_expiry_s = lease_expiry_s
+        self.stop_task = stop_task
+        self.unreachable: dict[str, Machine] = {}
+
+    # -- unreachable machines -------------------------------------------------------------------
+
+    def note_new_session(self, now: float, machine: Machine) -> None:
+        """Record a new session; one that begins although reports were answered counts as a missed
+        answer."""
+        if (
+            now - machine.last_answer_at < 0.75 * self.worker_settings.lease_s
+            and machine.session_started_at
+        ):
+            self._count_missed_answer(now, machine)
         machine.session_started_at = now
 
-    def told(self, now: float, machine: Machine, seq: int, token: int) -> None:
-        """A report has been taken in; `seq` is its number. What did earlier answers bring about?"""
+    def check_answers_received(self, now: float, machine: Machine, seq: int, token: int) -> None:
+        """Check whether earlier answers had an effect, after report number `seq` was applied."""
         if machine.worker_token < token:
-            # Answered under this token before, and not by one that the worker took.
-            lacking = 0 < machine.answered_seq < seq and machine.answered_token >= token
+            # A report was answered under this token before, but the worker has not adopted it.
+            answer_missed = 0 < machine.answered_seq < seq and machine.answered_token >= token
         else:
-            lacking = any(
+            answer_missed = any(
                 p.state == LAUNCH_SENT and p.stop_grace_s is None and 0 < p.answered_seq < seq
                 for p in machine.tasks.values()
             )
-        if lacking:
-            self._unechoed(now, machine)
+        if answer_missed:
+            self._count_missed_answer(now, machine)
         elif machine.unreachable_since is None and (
             machine.worker_token > machine.confirmed_token
             or any(p.state != LAUNCH_SENT for p in machine.tasks.values())
@@ -83,71 +89,87 @@
             machine.missed_answer_count = 0
         machine.confirmed_token = max(machine.confirmed_token, machine.worker_token)
         if machine.unreachable_since is not None:
-            quiet = max(machine.unreachable_since + self.lease_over, machine.session_started_at)
-            if now - quiet > 1.25 * self.pace.lease_s + 2 * self.pace.report_s and not lacking:
+            reachable_from = max(
+                machine.unreachable_since + self.lease_expiry_s, machine.session_started_at
+            )
+            if (
+                now - reachable_from
+                > 1.25 * self.worker_settings.lease_s + 2 * self.worker_settings.report_s
+                and not answer_missed
+            ):
                 log.info("machine hears again machine=%s", machine.name)
                 machine.unreachable_since, machine.missed_answer_count = None, 0
-                self.deaf.pop(machine.name, None)
+                self.unreachable.pop(machine.name, None)
 
-    def _unechoed(self, now: float, machine: Machine) -> None:
+    def _count_missed_answer(self, now: float, machine: Machine) -> None:
         machine.missed_answer_count += 1
-        if machine.missed_answer_count < UNECHOED:
+        if machine.missed_answer_count < MAX_MISSED_ANSWERS_COUNT:
             return
         machine.missed_answer_count = 0
-        # Until its lease is over it is not answered, whoever is right: then all on it is gone.
-        machine.unanswered_until = now + self.lease_over + self.pace.report_s
+        # Reports stay unanswered until the lease has expired, even if the worker can be reached
+        # after all: then every task on it is surely gone.
+        machine.unanswered_until = now + self.lease_expiry_s + self.worker_settings.report_s
         if machine.unreachable_since is None:
             log.info("machine does not hear machine=%s tasks=%d", machine.name, len(machine.tasks))
             machine.unreachable_since = now
-            self.deaf[machine.name] = machine
+            self.unreachable[machine.name] = machine
         for placement in list(machine.tasks.values()):
             if placement.state == LAUNCH_SENT:
-                self.halt(placement, 0.0, "not heard")
-
-    def lost(self, now: float) -> list[Machine]:
-        """Machines that have been deaf for long: to be returned."""
-        out = []
-        for name, machine in list(self.deaf.items()):
-            if self.desk.machines.get(name) is not machine or machine.unreachable_since is None:
-                del self.deaf[name]
-            elif now - machine.unreachable_since > RETURN_LEASES * self.pace.lease_s:
-                out.append(machine)
-        return out
-
-    # -- old ------------------------------------------------------------------------------------
-
-    def ask(self, machine: Machine, addr: str, began_anew: Callable[[], None]) -> None:
-        """A report looks old: what does the machine say now? `began_anew` hears that it has lost
-        all it had."""
-        now = self.desk.now
-        if machine.show_request_open or now - machine.show_requested_at < self.pace.report_s:
+                self.stop_task(placement, 0.0, "not heard")
+
+    def machines_to_return(self, now: float) -> list[Machine]:
+        """Machines that have been unreachable for so long that they are to be returned."""
+        machines = []
+        for name, machine in list(self.unreachable.items()):
+            if self.context.machines.get(name) is not machine or machine.unreachable_since is None:
+                del self.unreachable[name]
+            elif (
+                now - machine.unreachable_since
+                > RETURN_AFTER_LEASES_COUNT * self.worker_settings.lease_s
+            ):
+                machines.append(machine)
+        return machines
+
+    # -- old reports ----------------------------------------------------------------------------
+
+    def request_current_report(
+        self, machine: Machine, addr: str, on_restart: Callable[[], None]
+    ) -> None:
+        """Ask a machine for its present report, after one that looks old; `on_restart` is called
+        if the worker has restarted and so lost all its tasks."""
+        now = self.context.now
+        if (
+            machine.show_request_open
+            or now - machine.show_requested_at < self.worker_settings.report_s
+        ):
             return
         machine.show_request_open = True
         machine.show_requested_at = now
-        seen = machine.session, machine.seq
+        last_seen = machine.session, machine.seq
 
         def done(status: int | None, body: bytes) -> None:
             machine.show_request_open = False
-            report = decode(body, w.Report) if status == 200 else None
+            report = decode(body, worker_protocol.Report) if status == 200 else None
             if (
                 report is None
                 or report.machine != machine.name
-                or self.desk.machines.get(machine.name) is not machine
-                or (machine.session, machine.seq) < seen
-                # The larger one is the newer: this one has gone on.
-                or (report.session, report.seq) > seen
+                or self.context.machines.get(machine.name) is not machine
+                or (machine.session, machine.seq) < last_seen
+                # A larger order is a newer report of a worker that has not restarted.
+                or (report.session, report.seq) > last_seen
             ):
                 return
             log.info("machine began anew machine=%s session=%d", machine.name, report.session)
-            # Launches sent since then may have been obeyed, or may yet be: its next list that is
-            # told under a token of after this tells which of its tasks are gone.
-            # Its session is this one and not over: taken for a later one, the end of what ran in it
-            # was concluded from its next report, and what had just been launched began elsewhere.
+            # Launches sent since the restart may have been executed, or may yet be: the next task
+            # list that is reported under a later token decides which of its tasks are gone.
+            # The present session is recorded as running, not as ended: when it was taken for a
+            # later session, the next report was read as the end of its tasks, and tasks that had
+            # just been launched were started again elsewhere.
             machine.session = report.session
             machine.seq = machine.worker_token = machine.last_hello_seq = machine.answered_seq = 0
             machine.ended_session = -1
             machine.tasks_known = machine.quiescent = False
             machine.missed_answer_count = 0
-            began_anew()
+            on_restart()
 
-        self.desk.call(addr, "GET", "/show", None, self.pace.lease_s / 4, done)
+        self.context.call(addr, "GET", "/show", None, self.worker_settings.lease_s / 4, done)
--- a/sagecove/coordination/task_ends.py
+++ b/sagecove/coordination/task_ends.py
@@ -1,7 +1,7 @@
-"""How tasks end, told in the log: what was thrown away, and for whom.
+"""Logs how tasks end: which work was lost, and for whom a task was stopped.
 
-A line for each task that ended otherwise than by being done, and now and then a sum of those that
-were. `sagecove lab waste` reads both.
+Each task that ends without completing gets a line of its own; completed tasks are summed up at
+intervals. `sagecove lab waste` reads both kinds of lines.
 """
 
 from __future__ import annotations
@@ -10,38 +10,42 @@
 
 from sagecove.coordination.interfaces import BaseContext
 from sagecove.coordination.model import Placement
-from sagecove.protocol import workers as w
+from sagecove.protocol import workers as worker_protocol
 
 log = logging.getLogger("sagecove.ends")
 
-# Seconds between two sums of what was done.
-SUM_S = 10.0
+# Time between two summaries of completed tasks.
+SUMMARY_INTERVAL_S = 10.0
 
 
 class TaskEndLog:
-    """Ends of tasks on the machines of shards held here."""
+    """Logs the ends of tasks on machines of the shards held by this controller."""
 
-    def __init__(self, owner: BaseContext) -> None:
-        self.owner = owner
-        # By class: tasks done since the last sum, and their CPUs times seconds.
-        self.done: dict[str, tuple[int, float]] = {}
-        self.sum_at = 0.0
+    def __init__(self, context: BaseContext) -> None:
+        self.context = context
+        # By class of job: tasks completed since the last summary, and their CPU seconds.
+        self.completed: dict[str, tuple[int, float]] = {}
+        self.next_summary_at = 0.0
 
-    def ended(self, placement: Placement, why: str, saved: bool = False) -> None:
-        """A task is over on its machine. `why` is the worker's word, or one of ours: `lease` (its
-        worker's lease ended), `gone` (its machine is), `missing` (a report does not show it)."""
+    def log_task_end(self, placement: Placement, reason: str, saved: bool = False) -> None:
+        """Log or count a task that has ended on its machine.
+
+        `reason` is what the worker reported, or one of the controller's own: `lease` (the worker's
+        lease expired), `gone` (the machine was deleted), `missing` (a report doesn't show it).
+        """
         job = placement.job
         if job is None:
             return
-        ran = self.owner.now - placement.running_at if placement.running_at else 0.0
-        if why == w.WHY_DONE:
-            count, spent = self.done.get(job.spec.klass, (0, 0.0))
-            self.done[job.spec.klass] = count + 1, spent + ran * job.spec.cpus
+        run_s = self.context.now - placement.running_at if placement.running_at else 0.0
+        if reason == worker_protocol.WHY_DONE:
+            count, cpu_s = self.completed.get(job.spec.klass, (0, 0.0))
+            self.completed[job.spec.klass] = count + 1, cpu_s + run_s * job.spec.cpus
             return
-        # What is lost with it: nothing of a replica, nor up to the last checkpoint.
-        lost = 0.0 if saved or job.service else ran
+        # Lost work: none for a replica of a service or a saved task, else all since the last
+        # checkpoint.
+        lost_s = 0.0 if saved or job.service else run_s
         if job.spec.checkpoint_s > 0:
-            lost %= job.spec.checkpoint_s
+            lost_s %= job.spec.checkpoint_s
         log.info(
             "task ended task=%s attempt=%d machine=%s class=%s why=%s for=%s ran=%.1f"
             " lost_cpu_s=%.1f",
@@ -49,17 +53,17 @@
             placement.attempt,
             placement.machine.name,
             job.spec.klass,
-            why,
+            reason,
             placement.stopped_for.replace(" ", "-") or "-",
-            ran,
-            lost * job.spec.cpus,
+            run_s,
+            lost_s * job.spec.cpus,
         )
 
     def tick(self, now: float) -> None:
-        """Tell how much was done."""
-        if not self.done or now < self.sum_at:
+        """Log a summary of completed tasks when one is due."""
+        if not self.completed or now < self.next_summary_at:
             return
-        self.sum_at = now + SUM_S
-        done, self.done = self.done, {}
-        for klass, (count, spent) in done.items():
-            log.info("tasks done class=%s tasks=%d cpu_s=%.1f", klass, count, spent)
+        self.next_summary_at = now + SUMMARY_INTERVAL_S
+        completed, self.completed = self.completed, {}
+        for job_class, (count, cpu_s) in completed.items():
+            log.info("tasks done class=%s tasks=%d cpu_s=%.1f", job_class, count, cpu_s)
--- a/sagecove/coordination/uncertain_launches.py
+++ b/sagecove/coordination/uncertain_launches.py
@@ -1,8 +1,8 @@
-"""Launches sent straight to a worker that got no answer: they may be carried out much later.
+"""Tracks launches sent directly to a worker that got no response and may still be executed.
 
-The way may have held one back until after its job was cancelled, and the worker obeys for as long
-as token and session match. Its machine's token is raised where it stands in the way; while that
-can't be done, the session has to end.
+The network may deliver such a launch long after its job was cancelled, and the worker obeys it as
+long as token and session match. Where an uncertain launch is in the way, the machine's token is
+raised; while that can't be done, the worker's session has to end.
 """
 
 from __future__ import annotations
@@ -13,84 +13,91 @@
 
 from sagecove.coordination.interfaces import BaseContext
 from sagecove.coordination.model import LAUNCH_SENT, Machine, Placement, Shard
-from sagecove.protocol import workers as w
+from sagecove.protocol import workers as worker_protocol
 
 log = logging.getLogger("sagecove.doubts")
 
 
-class Held(BaseContext, Protocol):
-    """The clock, and the shards held here."""
+class ShardContext(BaseContext, Protocol):
+    """The owner's tables, with the shards held by this controller."""
 
     held_shards: dict[str, Shard]
 
 
 class UncertainLaunches:
-    """`fence(machine)` writes a machine's record, for a new token; `served()`: the state service
-    answers; `lease_over`: so long after the last answer a worker's lease has run out."""
+    """Resolves launches without a response.
+
+    `raise_token(machine)` writes the machine's record, which gives it a new token;
+    `state_service_connected()` tells whether the state service responds; `lease_expiry_s` after
+    the last answer a worker's lease has surely expired.
+    """
 
     def __init__(
         self,
-        desk: Held,
-        fence: Callable[[Machine], None],
-        served: Callable[[], bool],
-        lease_over: float,
+        context: ShardContext,
+        raise_token: Callable[[Machine], None],
+        state_service_connected: Callable[[], bool],
+        lease_expiry_s: float,
     ) -> None:
-        self.desk = desk
-        self.fence = fence
-        self.served = served
-        self.lease_over = lease_over
+        self.context = context
+        self.raise_token = raise_token
+        self.state_service_connected = state_service_connected
+        self.lease_expiry_s = lease_expiry_s
         self.machines: dict[str, Machine] = {}
 
-    def note(self, machine: Machine, placement: Placement, token: int) -> None:
-        """A launch under this token got no answer."""
+    def add(self, machine: Machine, placement: Placement, token: int) -> None:
+        """Record that a launch under this token got no response."""
         placement.unconfirmed_token = max(placement.unconfirmed_token, token)
-        placement.unconfirmed_at = self.desk.now
+        placement.unconfirmed_at = self.context.now
         self.machines[machine.name] = machine
 
-    def seen(self, machine: Machine, token: int) -> None:
-        """A worker has shown that it obeys no lower token any more."""
+    def note_obeyed_token(self, machine: Machine, token: int) -> None:
+        """Drop launches that can't be executed any more: the worker rejects tokens below this."""
         if machine.name in self.machines:
             for placement in machine.tasks.values():
                 if placement.unconfirmed_token >= 0 and token > placement.unconfirmed_token:
                     placement.unconfirmed_token = -1
 
     def tick(self, now: float) -> None:
-        """Raise tokens where a lost launch stands in the way."""
+        """Raise the token of machines where an uncertain launch belongs to a stopped task."""
         for name, machine in list(self.machines.items()):
-            if self.desk.machines.get(name) is not machine or not any(
+            if self.context.machines.get(name) is not machine or not any(
                 p.unconfirmed_token >= 0 for p in machine.tasks.values()
             ):
                 del self.machines[name]
                 continue
-            shard = self.desk.held_shards.get(machine.record.shard)
+            shard = self.context.held_shards.get(machine.record.shard)
             if shard is None:
                 continue
             token = max(shard.term, machine.stamp)
-            stale = [
+            unwanted = [
                 p
                 for p in machine.tasks.values()
                 if p.unconfirmed_token >= token
-                and (p.state == w.EXITED or p.stop_grace_s is not None)
+                and (p.state == worker_protocol.EXITED or p.stop_grace_s is not None)
             ]
-            if not stale:
+            if not unwanted:
                 continue
-            self.fence(machine)
-            # Of a cancelled job it would start long after its user was told, if nobody can write:
-            # for a worker that this controller answered on, by way of another, all through an
-            # outage. So it is answered no more, and its session ends with all that was sent to it.
-            if now >= machine.unanswered_until and any(self._pressing(now, p) for p in stale):
+            self.raise_token(machine)
+            # If nobody can write to the state service, a task of a cancelled job could start long
+            # after its user was told that it is cancelled: the worker's lease is renewed all
+            # through the outage, by way of another controller. So the worker is not answered any
+            # more, and its session ends with all that was sent to it.
+            if now >= machine.unanswered_until and any(
+                self._must_end_session(now, p) for p in unwanted
+            ):
                 log.info("launch in doubt, session to end machine=%s", name)
-                machine.unanswered_until = now + self.lease_over + self._pace
+                machine.unanswered_until = now + self.lease_expiry_s + self._report_s
                 machine.quiescent = False
 
     @property
-    def _pace(self) -> float:
-        return self.desk.settings.params.workers.report_s
+    def _report_s(self) -> float:
+        return self.context.settings.params.workers.report_s
 
-    def _pressing(self, now: float, placement: Placement) -> bool:
+    def _must_end_session(self, now: float, placement: Placement) -> bool:
         job = placement.job
-        over = job is None or job.cancelled_elsewhere or job.id not in self.desk.jobs
-        patience = self._pace if self.served() else 0.0
+        job_over = job is None or job.cancelled_elsewhere or job.id not in self.context.jobs
+        wait_s = self._report_s if self.state_service_connected() else 0.0
         return (
-            over and placement.state == LAUNCH_SENT and now - placement.unconfirmed_at >= patience
+            job_over and placement.state == LAUNCH_SENT and now - placement.unconfirmed_at >= wait_s
         )
--- a/sagecove/coordination/workers.py
+++ b/sagecove/coordination/workers.py
@@ -1,10 +1,10 @@
-"""Dealings with workers: reports, tokens, orders, direct commands, silent machines.
+"""Handles workers' reports, sends them commands, and returns machines that fall silent.
 
-What makes a task provably gone from a machine:
-- a report newer than its launch shows it exited, or does not show it while no launch of it can
-  still arrive;
+A task is provably gone from a machine when
+- a report newer than its launch shows it exited, or doesn't show it while no launch of it can still
+  arrive;
 - the worker has begun a later session;
-- the machine was deleted (its record is gone), or its worker's lease has surely run out.
+- the machine was deleted (its record is gone), or its worker's lease has surely expired.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 from sagecove.coordination import images
 from sagecove.coordination.effects import Reply
 from sagecove.coordination.model import LAUNCH_SENT, Machine, Placement
-from sagecove.coordination.reachability import Reach
+from sagecove.coordination.reachability import Reachability
 from sagecove.coordination.uncertain_launches import UncertainLaunches
-from sagecove.protocol import workers as w
+from sagecove.protocol import workers as worker_protocol
 from sagecove.protocol.users import Refusal
 from sagecove.storage.records import HOLDER, MachineRecord
 from sagecove.storage.store import Outcome, Result, decode
@@ -31,94 +31,99 @@
 
 log = logging.getLogger("sagecove.workers")
 
-Answer = Callable[[int | None, bytes], None]
+ResponseHandler = Callable[[int | None, bytes], None]
 
-# For so many leases it is not held against machines that many are silent together.
-MANY_LEASES = 6
-# Peers' hints come once a second; one that is older says that its sender is silent.
+# When many machines fall silent together, none is returned before this many leases.
+MANY_SILENT_LEASES_COUNT = 6
+# A peer whose last hint is older than this is taken for silent: hints come once a second.
 HINT_FRESH_S = 2.5
 
 
-def split_task(task: str) -> tuple[str, int]:
-    """Job id and number of a task's name; number -1 if it is none."""
+def parse_task_name(task: str) -> tuple[str, int]:
+    """Split a task's name into job id and task number; the number is -1 if there is none."""
     job, _, number = task.rpartition("/")
     return (job, int(number)) if number.isdecimal() and len(number) < 7 else (task, -1)
 
 
 class Workers:
-    """Reports in, orders out."""
+    """Processes reports of workers and sends commands to them."""
 
     def __init__(self, owner: Owner) -> None:
         self.owner = owner
-        pace = owner.settings.params.workers
-        self.pace = pace
+        worker_settings = owner.settings.params.workers
+        self.worker_settings = worker_settings
         drift = 1 + owner.settings.drift
-        # After the last answer, a worker's lease has run out for sure (half a report for clocks'
-        # steps and the way of the packets).
-        self.lease_expiry_s = pace.lease_s * drift + pace.report_s / 2
-        self.call_s = ANSWER_S
-        # Silence that is taken for a dead machine. A worker that gets no answer from its holder
-        # turns to the next controller after a report's time, 4 s, and a pause of 1 s; the way
-        # takes a moment, too.
+        # This long after the last answer a worker's lease has surely expired. Half a report's time
+        # covers clock steps and network delay.
+        self.lease_expiry_s = worker_settings.lease_s * drift + worker_settings.report_s / 2
+        self.call_timeout_s = ANSWER_S
+        # A machine that is silent for longer counts as dead. A worker that gets no answer from its
+        # holder turns to the next controller after a report's time, the timeout of 4 s and a pause
+        # of 1 s, plus the network delay.
         self.silence_limit_s = max(
-            *(3 * pace.report_s, pace.lease_s / 3),
-            1.25 * pace.report_s + self.call_s + 1.5,
+            *(3 * worker_settings.report_s, worker_settings.lease_s / 3),
+            1.25 * worker_settings.report_s + self.call_timeout_s + 1.5,
         )
-        self.reach = Reach(owner, self.lease_expiry_s, self.stop_task)
-        self.adopting: set[str] = set()
-        # Machines with orders that should not wait for the next report.
-        self.urgent: dict[str, Machine] = {}
+        self.reachability = Reachability(owner, self.lease_expiry_s, self.stop_task)
+        self.adopting_machines: set[str] = set()
+        # Machines with commands that should not wait for the next report.
+        self.urgent_machines: dict[str, Machine] = {}
+        # By machine name: when its record was deleted.
         self.deleted_at: dict[str, float] = {}
-        # By shard, when a machine of it may first have to be seen to.
-        self.look_at: dict[str, float] = {}
-        # Zones that the way to was at fault lately, and when.
-        self.cut_at: dict[str, float] = {}
-        # Lost launches that may still arrive.
+        # By shard: when one of its machines may first be silent or have an expired lease.
+        self.next_check_at: dict[str, float] = {}
+        # By zone: when its machines were last cut off from this controller.
+        self.zone_cut_off_at: dict[str, float] = {}
+        # Direct launches without a response, which may still be executed.
         self.uncertain_launches = UncertainLaunches(
-            owner, self._fence, lambda: owner.sync.connected(), self.lease_expiry_s
+            owner, self._raise_token, lambda: owner.sync.connected(), self.lease_expiry_s
         )
 
     # -- reports --------------------------------------------------------------------------------
 
     def handle_report(self, body: bytes, exchange: object, relayed: bool = False) -> None:
-        """A worker reports, directly or by way of another controller."""
+        """Process and answer a worker's report, sent directly or relayed by another controller."""
         owner = self.owner
-        hands: list[w.Hand] | None = None
+        reported_tasks: list[worker_protocol.Hand] | None = None
         try:
-            report = w.read_report(body)
+            report = worker_protocol.read_report(body)
             machine = owner.machines.get(report.machine)
             if (
                 machine is None
                 or not machine.quiescent
                 or machine.last_task_list != bytes(report.tasks)
             ):
-                hands = w.read_hands(report.tasks)
+                reported_tasks = worker_protocol.read_hands(report.tasks)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             owner.effects.append(Reply(exchange, 400, Refusal(str(error)[:200])))
             return
         now = owner.now
         if machine is None:
             if not self._adopt(report, body, exchange):
-                owner.effects.append(Reply(exchange, 503, Refusal("machine unknown as yet")))
+                owner.effects.append(Reply(exchange, 503, Refusal("machine is not known yet")))
             return
         shard = owner.held_shards.get(machine.record.shard)
         if shard is None or shard.yielding or not owner.leadership.may_act(now):
             holder = owner.shards.holder_of(machine.record.shard)
             if holder is None and not relayed:
-                # Its lease has lapsed, and somebody is about to take the shard.
-                self._park(machine, report, exchange)
+                # The holder's lease has expired, and some controller is about to take the shard.
+                self._redirect_to_live_peer(machine, report, exchange)
             elif holder != owner.settings.node and holder is not None and not relayed:
-                self._elsewhere(machine, holder, report, body, exchange)
+                self._handle_foreign_report(machine, holder, report, body, exchange)
             else:
-                owner.effects.append(Reply(exchange, 503, Refusal("no authority at the moment")))
+                owner.effects.append(
+                    Reply(exchange, 503, Refusal("this controller may not act for the shard now"))
+                )
             return
         token = max(shard.term, machine.stamp)
         if now < machine.unanswered_until:
             machine.last_report_at = now
-            owner.effects.append(Reply(exchange, 503, Refusal("answers do not reach you")))
+            owner.effects.append(
+                Reply(exchange, 503, Refusal("the worker does not receive answers"))
+            )
             return
-        if self._newer(machine, report):
-            self.read(machine, report, hands, token, hello=True)
+        if self._is_newest(machine, report):
+            self.apply_report(machine, report, reported_tasks, token, via_hello=True)
             machine.last_hello_seq = report.seq
         elif (
             report.session != machine.session
@@ -126,68 +131,82 @@
             or report.seq <= machine.last_hello_seq
             or report.token < machine.worker_token
         ):
-            # A late copy: it renews, revives and ends nothing. Or the worker began anew.
+            # A delayed copy, which must not renew a lease nor change any state, or the first report
+            # of a worker that has restarted.
             if report.seq != machine.last_hello_seq or report.session != machine.session:
-                self.reach.ask(machine, report.addr, lambda: self._began_anew(machine))
+                self.reachability.request_current_report(
+                    machine, report.addr, lambda: self._fence_after_restart(machine)
+                )
             owner.effects.append(Reply(exchange, 503, Refusal("report is out of date")))
             return
         if token <= machine.fence_token:
-            # An old launch under this token may still arrive, and would be obeyed.
-            self._fence(machine)
+            # An old launch under this token may still arrive and would be executed.
+            self._raise_token(machine)
             owner.effects.append(Reply(exchange, 503, Refusal("a new token is needed")))
             return
-        # Otherwise a direct command's answer has overtaken it: the list is old, but the worker
-        # waits for this answer.
+        # A report that is neither newest nor out of date was overtaken by the response to a direct
+        # command: its task list is old, but the worker still waits for this answer.
         machine.last_answer_at = now
         machine.answered_seq, machine.answered_token = report.seq, token
-        orders: list[w.Order] = []
+        orders: list[worker_protocol.Order] = []
         if machine.tasks_known and not machine.quiescent:
-            orders = self.orders(machine, report.seq)
-            machine.quiescent = not orders and self._nothing_due(machine)
-        owner.effects.append(Reply(exchange, 200, w.Answer(token, orders)))
-        self.urgent.pop(machine.name, None)
+            orders = self.orders_for(machine, report.seq)
+            machine.quiescent = not orders and self._has_nothing_due(machine)
+        owner.effects.append(Reply(exchange, 200, worker_protocol.Answer(token, orders)))
+        self.urgent_machines.pop(machine.name, None)
 
-    def _elsewhere(
-        self, machine: Machine, holder: str, report: w.Report, body: bytes, exchange: object
+    def _handle_foreign_report(
+        self,
+        machine: Machine,
+        holder: str,
+        report: worker_protocol.Report,
+        body: bytes,
+        exchange: object,
     ) -> None:
-        """A report for another holder: send the worker there; if it comes from there, or has just
-        been sent and is back, it can't get through, but this controller can: pass its report on."""
+        """Answer the report of a machine that another controller holds.
+
+        The worker is redirected to the holder. If it has tried the holder and come back, it can't
+        reach the holder but this controller can, so its report is relayed.
+        """
         owner = self.owner
         now = owner.now
-        addr = next((p.addr for p in owner.settings.peers if p.node == holder), None)
+        holder_addr = next((p.addr for p in owner.settings.peers if p.node == holder), None)
         hint = owner.peers.hints.get(holder)
-        reachable = hint is not None and now - hint[0] < HINT_FRESH_S
-        back = 0.7 < now - machine.redirected_at < self.pace.lease_s
-        # It has been answered by the holder under its present token. Between zones that could not
-        # reach each other workers were sent back for another 4 s without an answer, after which
-        # their leases were over; and their holders had returned them as silent.
-        term = owner.mirror.stamp(HOLDER + machine.record.shard)
-        back = back or report.token >= max(term, machine.stamp)
-        # One whose lease outlives its silence is alive, and merely cut off from its peers.
-        silent = hint is not None and HINT_FRESH_S <= now - hint[0] < owner.leadership.lease_s + 1.0
+        holder_reachable = hint is not None and now - hint[0] < HINT_FRESH_S
+        holder_tried = 0.7 < now - machine.redirected_at < self.worker_settings.lease_s
+        # A worker with the holder's present token has been answered by the holder. When two zones
+        # could not reach each other, such workers were redirected back and waited another 4 s for
+        # an answer; then their leases had expired, and their holders had returned them as silent.
+        holder_term = owner.mirror.stamp(HOLDER + machine.record.shard)
+        holder_tried = holder_tried or report.token >= max(holder_term, machine.stamp)
+        # A holder whose lease outlives its silence is alive and only cut off from its peers.
+        holder_silent = (
+            hint is not None and HINT_FRESH_S <= now - hint[0] < owner.leadership.lease_s + 1.0
+        )
         if (
-            silent
+            holder_silent
             and hint is not None
-            and (back or owner.peers.machine_reports_to(holder, machine.name))
+            and (holder_tried or owner.peers.machine_reports_to(holder, machine.name))
         ):
-            # The holder is silent and the worker has come from there: until the shard is taken,
-            # going back would cost it a timeout, and with a second one its lease and its tasks.
-            self._park(machine, report, exchange)
+            # The holder is silent and the worker has tried it: until the shard is taken, going back
+            # would cost the worker another timeout, and with that its lease and its tasks.
+            self._redirect_to_live_peer(machine, report, exchange)
             return
-        if not reachable and now - owner.sync.synced_at > owner.leadership.lease_s:
-            # Who holds the shard by now is not known here. Two controllers that were alone sent
-            # each other's workers to and fro until their leases were over; the third had the shard.
-            owner.effects.append(Reply(exchange, 503, Refusal("no authority at the moment")))
+        if not holder_reachable and now - owner.sync.synced_at > owner.leadership.lease_s:
+            # This controller's view of the holder is out of date. Two isolated controllers
+            # redirected each other's workers back and forth until the workers' leases expired,
+            # while a third controller held the shard.
+            owner.effects.append(Reply(exchange, 503, Refusal("the shard's holder is not known")))
             return
-        if machine.relaying and now - machine.foreign_report_at < self.pace.lease_s:
-            back = True
-        if not self._passes_by(machine, report):
-            owner.effects.append(Reply(exchange, 421, w.Redirect(holder)))
+        if machine.relaying and now - machine.foreign_report_at < self.worker_settings.lease_s:
+            holder_tried = True
+        if not self._note_foreign_report(machine, report):
+            owner.effects.append(Reply(exchange, 421, worker_protocol.Redirect(holder)))
             return
-        if addr is None or not reachable or not back:
+        if holder_addr is None or not holder_reachable or not holder_tried:
             machine.relaying = False
             machine.redirected_at = now
-            owner.effects.append(Reply(exchange, 421, w.Redirect(holder)))
+            owner.effects.append(Reply(exchange, 421, worker_protocol.Redirect(holder)))
             return
         machine.relaying = True
 
@@ -196,14 +215,19 @@
                 owner.effects.append(Reply(exchange, 200, msgspec.Raw(answer)))
             else:
                 machine.relaying = False
-                owner.effects.append(Reply(exchange, 503, Refusal("the holder does not answer")))
+                owner.effects.append(
+                    Reply(exchange, 503, Refusal("the shard's holder did not answer"))
+                )
+
+        # Raw, so that the report is relayed unchanged.
+        owner.call(holder_addr, "POST", "/relay", msgspec.Raw(body), self.call_timeout_s / 2, done)
 
-        # Raw: the report goes on as it came.
-        owner.call(addr, "POST", "/relay", msgspec.Raw(body), self.call_s / 2, done)
+    def _note_foreign_report(self, machine: Machine, report: worker_protocol.Report) -> bool:
+        """Record a report of another holder's machine; False for a delayed copy.
 
-    def _passes_by(self, machine: Machine, report: w.Report) -> bool:
-        """Another's machine is there, and can't reach its holder. A late copy says nothing of the
-        kind: copies kept machines that had died from being returned."""
+        A delayed copy doesn't show that the machine is up: copies kept dead machines from being
+        returned.
+        """
         order = report.session, report.seq
         if order <= machine.foreign_report_order:
             return False
@@ -211,46 +235,56 @@
         machine.foreign_report_at = self.owner.now
         return True
 
-    def _park(self, machine: Machine, report: w.Report, exchange: object) -> None:
-        """Nobody can answer a worker at the moment: send it to a controller that is alive, so that
-        it is not at a silent one when its shard is taken."""
+    def _redirect_to_live_peer(
+        self, machine: Machine, report: worker_protocol.Report, exchange: object
+    ) -> None:
+        """Redirect a worker whose shard has no acting holder to any live controller.
+
+        So it is not waiting at a silent controller when its shard is taken.
+        """
         owner = self.owner
         now = owner.now
         machine.relaying = False
-        self._passes_by(machine, report)
+        self._note_foreign_report(machine, report)
         live = sorted(n for n, (at, _) in owner.peers.hints.items() if now - at < HINT_FRESH_S)
         if live:
-            owner.effects.append(Reply(exchange, 421, w.Redirect(owner.random.choice(live))))
+            owner.effects.append(
+                Reply(exchange, 421, worker_protocol.Redirect(owner.random.choice(live)))
+            )
         else:
-            owner.effects.append(Reply(exchange, 503, Refusal("the holder is silent")))
+            owner.effects.append(Reply(exchange, 503, Refusal("the shard's holder is silent")))
 
     def recent_foreign_machines(self, now: float) -> list[str]:
-        """Machines of other holders that have been seen here lately."""
+        """Names of other holders' machines that have reported here lately."""
         return [
             m.name
             for m in self.owner.machines.values()
-            if now - m.foreign_report_at < 2 * self.pace.report_s
+            if now - m.foreign_report_at < 2 * self.worker_settings.report_s
         ]
 
     @staticmethod
-    def _newer(machine: Machine, report: w.Report) -> bool:
-        """It was sent after all that has been seen of this machine. A worker's token only grows: a
-        late copy from before it began anew may have a larger session."""
+    def _is_newest(machine: Machine, report: worker_protocol.Report) -> bool:
+        """Tell whether a report was sent after all that were seen of this machine.
+
+        The token is compared, too, as a worker's token only grows: a delayed copy from before a
+        restart may have a larger session.
+        """
         return (
             report.session > machine.ended_session
             and report.token >= machine.worker_token
             and (report.session, report.seq) > (machine.session, machine.seq)
         )
 
-    def _began_anew(self, machine: Machine) -> None:
-        """A worker takes any token now, one of a launch that is still under way included."""
+    def _fence_after_restart(self, machine: Machine) -> None:
+        """Fence off old launches: a restarted worker accepts any token, also that of a launch that
+        is still under way."""
         shard = self.owner.held_shards.get(machine.record.shard)
         if shard is not None:
             machine.fence_token = max(shard.term, machine.stamp)
-            self._fence(machine)
+            self._raise_token(machine)
 
-    def _fence(self, machine: Machine) -> None:
-        """Give a machine a token that no command from before has: write its record."""
+    def _raise_token(self, machine: Machine) -> None:
+        """Write the machine's record, so that its token is higher than any earlier command's."""
         shard = self.owner.held_shards.get(machine.record.shard)
         if shard is None or shard.yielding or machine.committing:
             return
@@ -263,73 +297,80 @@
 
         self.owner.put_machine(machine.name, machine.record, machine.stamp, shard, done)
 
-    def _adopt(self, report: w.Report, body: bytes, exchange: object) -> bool:
-        """A machine that reports and has no record: up before its rental's answer came or was
-        written down, or rented by a call whose answer was lost. It goes to the shard it was rented
-        for, as far as that can be told, and this report is answered once its record is durable.
-        False if it is not taken in."""
+    def _adopt(self, report: worker_protocol.Report, body: bytes, exchange: object) -> bool:
+        """Start to adopt a machine that reports but has no record; False if it is not adopted.
+
+        Such a machine was up before the response to its rental had arrived or was recorded, or the
+        response was lost. It joins the shard it was rented for, as far as that is known, and this
+        report is answered once its record is durable.
+        """
         owner = self.owner
         name = report.machine
         node = owner.settings.node
         shard = owner.held_shards.get(node)
         if (
-            name in self.adopting
+            name in self.adopting_machines
             or shard is None
             or shard.yielding
             or not owner.leadership.may_act(owner.now)
             or name in self.deleted_at
         ):
             return False
-        self.adopting.add(name)
-        home = owner.provisioner.shard_of_rental(report.type, report.zone, report.spot) or node
+        self.adopting_machines.add(name)
+        home_shard = (
+            owner.provisioner.shard_of_rental(report.type, report.zone, report.spot) or node
+        )
         record = MachineRecord(
-            report.type, report.zone, report.spot, home, report.addr, owner.wall()
+            report.type, report.zone, report.spot, home_shard, report.addr, owner.wall()
         )
 
         def done(result: Result) -> None:
-            self.adopting.discard(name)
+            self.adopting_machines.discard(name)
             if name in owner.machines:
                 self.handle_report(body, exchange)
             else:
-                owner.effects.append(Reply(exchange, 503, Refusal("machine unknown as yet")))
+                owner.effects.append(Reply(exchange, 503, Refusal("machine is not known yet")))
 
-        def said(status: int | None, answer: bytes) -> None:
-            # A late copy of a report must not bring back a machine that is gone.
-            now = decode(answer, w.Report) if status == 200 else None
-            there = now is not None and now.machine == name
-            if there and owner.held_shards.get(node) is shard and name not in owner.machines:
+        def on_show(status: int | None, answer: bytes) -> None:
+            # A delayed copy of a report must not bring back a machine that is gone.
+            current = decode(answer, worker_protocol.Report) if status == 200 else None
+            confirmed = current is not None and current.machine == name
+            if confirmed and owner.held_shards.get(node) is shard and name not in owner.machines:
                 owner.put_machine(name, record, 0, shard, done)
             else:
                 done(Result(Outcome.REFUSED))
 
-        owner.call(report.addr, "GET", "/show", None, self.call_s / 2, said)
+        owner.call(report.addr, "GET", "/show", None, self.call_timeout_s / 2, on_show)
         return True
 
     @staticmethod
-    def _nothing_due(machine: Machine) -> bool:
-        """Until a task, an order or the report changes, hearing the same report changes nothing."""
+    def _has_nothing_due(machine: Machine) -> bool:
+        """Tell whether the same report again would change nothing and needs no command."""
         return (
             machine.tasks_known
             and not machine.unknown_tasks
             and not machine.spot_notice
             and all(
-                p.state in (w.PULLING, w.TASK_RUNNING)
+                p.state in (worker_protocol.PULLING, worker_protocol.TASK_RUNNING)
                 and p.stop_grace_s is None
                 and p.unconfirmed_token < 0
                 for p in machine.tasks.values()
             )
         )
 
-    def read(
+    def apply_report(
         self,
         machine: Machine,
-        report: w.Report,
-        hands: list[w.Hand] | None,
+        report: worker_protocol.Report,
+        reported_tasks: list[worker_protocol.Hand] | None,
         token: int,
-        hello: bool,
+        via_hello: bool,
     ) -> None:
-        """Take in a report's task list (None: the same as last time, on a settled machine). The
-        report is newer than all seen of this machine."""
+        """Apply a report that is newer than all seen of this machine.
+
+        `reported_tasks` is None if the list is the same as last time and the machine quiescent.
+        `via_hello` is false for a report that came in the response to a direct command.
+        """
         owner = self.owner
         now = owner.now
         if report.session > machine.session:
@@ -339,14 +380,15 @@
                     "session over machine=%s session=%d by=%s",
                     machine.name,
                     report.session,
-                    "report" if hello else "direct answer",
+                    "report" if via_hello else "direct answer",
                 )
-            self.reach.new_session(now, machine)
+            self.reachability.note_new_session(now, machine)
             machine.last_hello_seq = 0
             self.forget_tasks(machine)
-            # The new session may have begun only now, and has its lease from then on, whoever told
-            # of it: counted from the last answer to a report, a session that a direct command's
-            # answer told of was taken for over at once, and what ran in it was started again.
+            # The session may have begun only now, and its lease counts from then on, however it
+            # became known. When the lease was counted from the last answered report, a session
+            # first seen in the response to a direct command was taken for expired at once, and its
+            # tasks were started again.
             machine.last_answer_at = max(machine.last_answer_at, now)
         machine.session, machine.seq = report.session, report.seq
         machine.worker_token = report.token
@@ -361,34 +403,35 @@
             machine.spot_notice = True
         if report.token < token:
             machine.quiescent = False
-            if hello:
-                self.reach.told(now, machine, report.seq, token)
+            if via_hello:
+                self.reachability.check_answers_received(now, machine, report.seq, token)
             return
-        if hands is None and machine.quiescent and machine.unreachable_since is None:
+        if reported_tasks is None and machine.quiescent and machine.unreachable_since is None:
             return
-        if hands is None:
-            hands = w.read_hands(report.tasks)
+        if reported_tasks is None:
+            reported_tasks = worker_protocol.read_hands(report.tasks)
         machine.quiescent = False
         machine.last_task_list = bytes(report.tasks)
-        first = not machine.tasks_known
+        first_list = not machine.tasks_known
         machine.tasks_known = True
         seen: set[str] = set()
-        strays: dict[tuple[str, int], str] = {}
-        # With tasks of a second or two most of a report is tasks that have ended and wait for
-        # their numbers to be durable: 140 on a hunted day, half of what its owners did.
+        unknown_tasks: dict[tuple[str, int], str] = {}
+        # This loop has to be fast. With tasks of a second or two, most of a report is tasks that
+        # have ended and wait until that is durable: 140 of them in test runs with injected faults,
+        # where they took half of the owners' time.
         tasks = machine.tasks
-        for hand in hands:
-            placement = tasks.get(hand.task)
-            if placement is None or placement.attempt != hand.attempt:
-                adopted = self._recognize(machine, hand) if placement is None else None
+        for reported in reported_tasks:
+            placement = tasks.get(reported.task)
+            if placement is None or placement.attempt != reported.attempt:
+                adopted = self._recognize_task(machine, reported) if placement is None else None
                 if adopted is None:
-                    strays[hand.task, hand.attempt] = hand.state
+                    unknown_tasks[reported.task, reported.attempt] = reported.state
                     continue
                 placement = adopted
-            seen.add(hand.task)
-            if placement.state != hand.state:
-                self._observe(machine, placement, hand)
-        self.uncertain_launches.seen(machine, report.token)
+            seen.add(reported.task)
+            if placement.state != reported.state:
+                self._apply_task_state(machine, placement, reported)
+        self.uncertain_launches.note_obeyed_token(machine, report.token)
         missing = [task for task in tasks if task not in seen] if len(seen) < len(tasks) else []
         for task in missing:
             placement = tasks[task]
@@ -396,34 +439,34 @@
                 gone = (
                     placement.stop_grace_s is not None
                     and not placement.in_flight
-                    and hello
+                    and via_hello
                     and report.seq > placement.answered_seq
                 )
             else:
                 gone = not placement.in_flight
             if gone:
-                self.drop(machine, placement)
-        if hello:
-            self.reach.told(now, machine, report.seq, token)
+                self.drop_task(machine, placement)
+        if via_hello:
+            self.reachability.check_answers_received(now, machine, report.seq, token)
         if machine.spot_notice:
-            self._save(machine)
-        if machine.unknown_tasks or strays:
-            machine.unknown_tasks = strays
+            self._stop_saving_tasks(machine)
+        if machine.unknown_tasks or unknown_tasks:
+            machine.unknown_tasks = unknown_tasks
             owner.ledger.update_machine(machine)
-        if first:
+        if first_list:
             owner.shards.resolve_machine(machine)
         owner.pass_needed = True
 
-    def _save(self, machine: Machine) -> None:
-        """The machine will be taken: what can save stops in time; the rest may yet complete."""
+    def _stop_saving_tasks(self, machine: Machine) -> None:
+        """Stop tasks that can save before a spot machine is reclaimed; others may yet complete."""
         for placement in list(machine.tasks.values()):
             job = placement.job
             if job is not None and job.spec.checkpoint_s > 0 and placement.takes_room:
                 self.stop_task(placement, job.grace_s, "spot notice")
 
-    def _recognize(self, machine: Machine, hand: w.Hand) -> Placement | None:
-        """A reported task that this process did not place: one of an earlier holder?"""
-        job_id, index = split_task(hand.task)
+    def _recognize_task(self, machine: Machine, reported: worker_protocol.Hand) -> Placement | None:
+        """Adopt a reported task that an earlier holder placed; None if it can't be such a task."""
+        job_id, index = parse_task_name(reported.task)
         job = self.owner.jobs.get(job_id)
         if job is None or index < 0:
             return None
@@ -431,112 +474,120 @@
             return None
         if index in job.placed:
             return None
-        if hand.state == w.EXITED and hand.why != w.WHY_DONE:
+        if reported.state == worker_protocol.EXITED and reported.why != worker_protocol.WHY_DONE:
             return None
-        placement = Placement(job, index, hand.task, hand.attempt, machine)
+        placement = Placement(job, index, reported.task, reported.attempt, machine)
         placement.started_at = self.owner.now
         self.owner.ledger.add_placement(machine, placement)
-        if (limbo := job.possibly_running.get(machine.record.shard)) is not None:
-            job.possibly_running[machine.record.shard] = limbo & ~(1 << index)
-        if job.gang and job.attempt != hand.attempt:
+        if (possibly_running := job.possibly_running.get(machine.record.shard)) is not None:
+            job.possibly_running[machine.record.shard] = possibly_running & ~(1 << index)
+        if job.gang and job.attempt != reported.attempt:
             if len(job.placed) > 1:
                 job.gang_stopping = True
-            job.attempt = max(job.attempt, hand.attempt)
+            job.attempt = max(job.attempt, reported.attempt)
         return placement
 
-    def _observe(self, machine: Machine, placement: Placement, hand: w.Hand) -> None:
+    def _apply_task_state(
+        self, machine: Machine, placement: Placement, reported: worker_protocol.Hand
+    ) -> None:
         owner = self.owner
-        owner.ledger.set_task_state(placement, hand.state)
+        owner.ledger.set_task_state(placement, reported.state)
         job = placement.job
         assert job is not None
-        if hand.state in (w.TASK_RUNNING, w.WAITING):
-            images.used(machine, job.spec)
-        if hand.state == w.TASK_RUNNING and not placement.running_at:
+        if reported.state in (worker_protocol.TASK_RUNNING, worker_protocol.WAITING):
+            images.record_image_use(machine, job.spec)
+        if reported.state == worker_protocol.TASK_RUNNING and not placement.running_at:
             placement.running_at = owner.now
             log.info(
                 "runs task=%s machine=%s class=%s after=%.1f image_gb=%.1f",
                 *(placement.task, machine.name, job.spec.klass),
                 *(owner.now - placement.started_at, job.spec.image_gb),
             )
-        if hand.state != w.EXITED:
+        if reported.state != worker_protocol.EXITED:
             return
-        placement.exit_reason = hand.why
-        owner.task_end_log.ended(placement, hand.why, hand.saved)
-        if hand.why == w.WHY_DONE:
+        placement.exit_reason = reported.why
+        owner.task_end_log.log_task_end(placement, reported.why, reported.saved)
+        if reported.why == worker_protocol.WHY_DONE:
             owner.estimates.note_run_time(placement)
-            owner.failures.completed(machine, job)
+            owner.failures.task_completed(machine, job)
             if job.gang:
-                # All tasks of a gang complete together.
+                # The tasks of a gang complete together.
                 job.finished_unrecorded |= job.all_tasks & ~job.finished
             else:
                 job.finished_unrecorded |= (1 << placement.index) & ~job.finished
         else:
-            if hand.why == w.WHY_ERROR:
-                owner.failures.failed(placement)
-            elif hand.why in (w.WHY_FULL, w.WHY_BUSY, w.WHY_UNKNOWN):
-                job.hold_until = max(job.hold_until, owner.now + self.pace.report_s)
+            if reported.why == worker_protocol.WHY_ERROR:
+                owner.failures.task_failed(placement)
+            elif reported.why in (
+                worker_protocol.WHY_FULL,
+                worker_protocol.WHY_BUSY,
+                worker_protocol.WHY_UNKNOWN,
+            ):
+                job.hold_until = max(job.hold_until, owner.now + self.worker_settings.report_s)
             if job.gang:
                 job.gang_stopping = True
         owner.ledger.update_claims(job)
         if not machine.tasks:
             machine.idle_since = owner.now
 
-    # -- gone -----------------------------------------------------------------------------------
+    # -- lost tasks and machines ----------------------------------------------------------------
 
-    def drop(self, machine: Machine, placement: Placement, why: str = "missing") -> None:
-        """A task is provably gone from its machine."""
+    def drop_task(self, machine: Machine, placement: Placement, reason: str = "missing") -> None:
+        """Remove a task that is provably gone from its machine."""
         job = placement.job
         if placement.takes_room and job is not None and job.gang and placement.state != LAUNCH_SENT:
             job.gang_stopping = True
         if placement.takes_room:
-            self.owner.task_end_log.ended(placement, why)
+            self.owner.task_end_log.log_task_end(placement, reason)
         self.owner.ledger.remove_placement(machine, placement)
         if not machine.tasks:
             machine.idle_since = self.owner.now
         self.owner.pass_needed = True
 
-    def forget_tasks(self, machine: Machine, why: str = "lease") -> None:
-        """All tasks of a session are gone."""
+    def forget_tasks(self, machine: Machine, reason: str = "lease") -> None:
+        """Drop all tasks of a machine, as its session is over or the machine gone."""
         for placement in list(machine.tasks.values()):
-            self.drop(machine, placement, why)
+            self.drop_task(machine, placement, reason)
         machine.used = [0.0, 0.0, 0.0]
         machine.quiescent = False
         machine.unknown_tasks = {}
         self.owner.ledger.update_machine(machine)
 
     def tick(self, now: float) -> None:
-        """Resolve machines whose lease has surely run out, and ask to delete the silent ones."""
+        """Drop tasks of machines with a surely expired lease; return silent and faulty machines."""
         owner = self.owner
         for name, at in list(self.deleted_at.items()):
             if now - at > 600:
                 del self.deleted_at[name]
         for shard in list(owner.held_shards.values()):
-            if now < self.look_at.get(shard.name, 0.0):
+            if now < self.next_check_at.get(shard.name, 0.0):
                 continue
             machines = owner.shards.shard_machines(shard.name)
-            # Until the first of them can be silent or over its lease there is nothing to see: what
-            # is heard meanwhile only makes that later.
-            soonest = now + min(self.silence_limit_s, self.lease_expiry_s)
+            # Nothing can be due before the first machine may be silent or have an expired lease:
+            # reports that come in meanwhile only make that later.
+            next_check_at = now + min(self.silence_limit_s, self.lease_expiry_s)
             for machine in machines:
                 if machine.ever_reported and not machine.record.leaving:
-                    soonest = min(soonest, machine.last_report_at + self.silence_limit_s)
+                    next_check_at = min(
+                        next_check_at, machine.last_report_at + self.silence_limit_s
+                    )
                 if (
                     machine.tasks
                     or machine.unknown_tasks
                     or machine.name in shard.unreported_machines
                 ):
-                    soonest = min(soonest, machine.last_answer_at + self.lease_expiry_s)
-            self.look_at[shard.name] = soonest
-            # Reports that this process was not there to hear are no silence.
+                    next_check_at = min(next_check_at, machine.last_answer_at + self.lease_expiry_s)
+            self.next_check_at[shard.name] = next_check_at
+            # Time in which this process was not running, or didn't hold the shard, is no silence.
             heard_since = max(shard.held_since, owner.running_since)
-            quiet = [
+            silent_machines = [
                 m
                 for m in machines
                 if now - m.last_report_at > self.silence_limit_s and m.ever_reported
             ]
             for machine in machines:
-                last = max(machine.last_answer_at, shard.held_since)
-                if now - last > self.lease_expiry_s and (
+                lease_renewed_at = max(machine.last_answer_at, shard.held_since)
+                if now - lease_renewed_at > self.lease_expiry_s and (
                     machine.tasks
                     or machine.unknown_tasks
                     or machine.name in shard.unreported_machines
@@ -555,27 +606,34 @@
                     owner.shards.resolve_machine(machine)
             if not owner.leadership.may_act(now) or shard.yielding:
                 continue
-            # When many fall silent at once, the fault is more likely on this side, or on the way.
-            up = [m for m in machines if m.ever_reported]
-            heard = sum(1 for m in up if now - m.last_report_at < 1.5 * self.pace.report_s)
-            many = len(quiet) > max(2, len(machines) // 4) or 2 * heard < len(up)
-            cut = self._cut_off(now, machines)
-            for machine in quiet:
-                # Not for ever: a shard most of whose machines had died kept them.
-                patience = self.silence_limit_s
-                if many:
-                    patience = MANY_LEASES * self.pace.lease_s
-                elif machine.record.zone in cut:
-                    patience = max(patience, self.pace.lease_s)
+            # When many machines fall silent at once, the fault is more likely in this controller or
+            # in the network.
+            reported_machines = [m for m in machines if m.ever_reported]
+            heard_count = sum(
+                1
+                for m in reported_machines
+                if now - m.last_report_at < 1.5 * self.worker_settings.report_s
+            )
+            many_silent = len(silent_machines) > max(
+                2, len(machines) // 4
+            ) or 2 * heard_count < len(reported_machines)
+            cut_off_zones = self._find_cut_off_zones(now, machines)
+            for machine in silent_machines:
+                # The wait is bounded: a shard of which most machines had died kept them for ever.
+                allowed_silence_s = self.silence_limit_s
+                if many_silent:
+                    allowed_silence_s = MANY_SILENT_LEASES_COUNT * self.worker_settings.lease_s
+                elif machine.record.zone in cut_off_zones:
+                    allowed_silence_s = max(allowed_silence_s, self.worker_settings.lease_s)
                 if (
-                    now - max(machine.last_report_at, heard_since) > patience
+                    now - max(machine.last_report_at, heard_since) > allowed_silence_s
                     and not machine.record.leaving
                     and now - machine.peer_heard_at > self.silence_limit_s
                 ):
                     self.mark_for_return(machine, "silent")
-        for name, machine in list(owner.failures.condemned.items()):
+        for name, machine in list(owner.failures.machines_to_return.items()):
             if owner.machines.get(name) is not machine or machine.return_due_at is None:
-                del owner.failures.condemned[name]
+                del owner.failures.machines_to_return[name]
             elif (
                 now >= machine.return_due_at
                 and not machine.record.leaving
@@ -583,26 +641,35 @@
                 and machine.empty
             ):
                 self.mark_for_return(machine, "sick")
-        for machine in self.reach.lost(now):
+        for machine in self.reachability.machines_to_return(now):
             self.mark_for_return(machine, "does not hear")
 
-    def _cut_off(self, now: float, machines: list[Machine]) -> set[str]:
-        """Zones of which much has not been heard for a moment while others are: the way to them is
-        at fault, and most of their machines will come by another controller."""
-        seen: dict[str, list[int]] = {}
-        late = 2 * self.pace.report_s
+    def _find_cut_off_zones(self, now: float, machines: list[Machine]) -> set[str]:
+        """Zones that are cut off from this controller, judged by their silent machines.
+
+        In such a zone many machines miss reports at once: the network to it is at fault, and most
+        of its machines will report by way of another controller.
+        """
+        counts_by_zone: dict[str, list[int]] = {}
+        late_s = 2 * self.worker_settings.report_s
         for machine in machines:
             if machine.ever_reported and not machine.record.leaving:
-                counts = seen.setdefault(machine.record.zone, [0, 0])
+                counts = counts_by_zone.setdefault(machine.record.zone, [0, 0])
                 counts[0] += 1
-                counts[1] += now - machine.last_report_at > late
-        out = {z for z, (every, quiet) in seen.items() if quiet > max(2, every // 4)}
-        for zone in out:
-            self.cut_at[zone] = now
-        return {z for z, at in self.cut_at.items() if now - at < self.silence_limit_s}
+                counts[1] += now - machine.last_report_at > late_s
+        cut_off = {
+            zone
+            for zone, (machine_count, silent_count) in counts_by_zone.items()
+            if silent_count > max(2, machine_count // 4)
+        }
+        for zone in cut_off:
+            self.zone_cut_off_at[zone] = now
+        return {
+            zone for zone, at in self.zone_cut_off_at.items() if now - at < self.silence_limit_s
+        }
 
     def mark_for_return(self, machine: Machine, reason: str) -> None:
-        """Hand a machine to the provisioner for deletion. Nothing is placed on it any more."""
+        """Mark a machine for deletion by the provisioner; nothing is placed on it any more."""
         owner = self.owner
         shard = owner.held_shards.get(machine.record.shard)
         if shard is None or shard.yielding or machine.handing_over:
@@ -612,8 +679,8 @@
         old = machine.record
         record = msgspec.structs.replace(old, leaving=reason)
         machine.committing = True
-        # While the state service refuses, once a report's time is enough.
-        machine.next_return_try_at = owner.now + self.pace.report_s
+        # While the state service refuses writes, one attempt per report interval is enough.
+        machine.next_return_try_at = owner.now + self.worker_settings.report_s
         log.info("machine to be returned machine=%s why=%s", machine.name, reason)
 
         def done(result: Result) -> None:
@@ -621,74 +688,92 @@
 
         owner.put_machine(machine.name, record, machine.stamp, shard, done)
 
-    # -- orders ---------------------------------------------------------------------------------
+    # -- commands -------------------------------------------------------------------------------
 
-    def reapable(self, placement: Placement) -> bool:
-        """The worker may forget it: no copy of its launch is under way, its result is durable."""
-        if placement.state != w.EXITED or placement.in_flight:
+    def can_reap(self, placement: Placement) -> bool:
+        """Tell whether the worker may forget an exited task.
+
+        It may once no launch of the task is under way and its result is durable.
+        """
+        if placement.state != worker_protocol.EXITED or placement.in_flight:
             return False
         job = placement.job
-        if placement.exit_reason != w.WHY_DONE or job is None or job.id not in self.owner.jobs:
+        if (
+            placement.exit_reason != worker_protocol.WHY_DONE
+            or job is None
+            or job.id not in self.owner.jobs
+        ):
             return True
         return bool(job.finished >> placement.index & 1)
 
-    def orders(self, machine: Machine, seq: int | None) -> list[w.Order]:
-        """What the worker should do now. `seq`: the report this answers; None: sent directly."""
+    def orders_for(self, machine: Machine, seq: int | None) -> list[worker_protocol.Order]:
+        """Commands for a worker, to answer report number `seq` or, if None, to be sent directly."""
         owner = self.owner
-        out: list[w.Order] = []
-        launches: list[w.Order] = []
+        orders: list[worker_protocol.Order] = []
+        launches: list[worker_protocol.Order] = []
         for placement in machine.tasks.values():
-            if placement.state == w.EXITED:
-                if self.reapable(placement):
-                    out.append(w.Order(w.REAP, placement.task, placement.attempt))
+            if placement.state == worker_protocol.EXITED:
+                if self.can_reap(placement):
+                    orders.append(
+                        worker_protocol.Order(
+                            worker_protocol.REAP, placement.task, placement.attempt
+                        )
+                    )
             elif placement.stop_grace_s is not None:
                 if placement.state == LAUNCH_SENT:
                     continue
-                if placement.state != w.SAVING or placement.stop_grace_s == 0:
-                    out.append(
-                        w.Order(w.HALT, placement.task, placement.attempt, placement.stop_grace_s)
+                if placement.state != worker_protocol.SAVING or placement.stop_grace_s == 0:
+                    orders.append(
+                        worker_protocol.Order(
+                            worker_protocol.HALT,
+                            placement.task,
+                            placement.attempt,
+                            placement.stop_grace_s,
+                        )
                     )
             elif placement.state == LAUNCH_SENT and placement.job is not None:
                 if placement.job.id not in owner.jobs:
                     continue
-                launches.append(w.Order(w.LAUNCH, placement.task, placement.attempt))
+                launches.append(
+                    worker_protocol.Order(worker_protocol.LAUNCH, placement.task, placement.attempt)
+                )
                 if seq is not None:
                     placement.answered_seq = seq
                 else:
                     placement.open_launch_calls += 1
         for (task, attempt), state in machine.unknown_tasks.items():
-            if state == w.EXITED:
-                out.append(w.Order(w.REAP, task, attempt))
+            if state == worker_protocol.EXITED:
+                orders.append(worker_protocol.Order(worker_protocol.REAP, task, attempt))
             else:
-                out.append(w.Order(w.HALT, task, attempt, 0.0))
-        # Bounded, so that an answer stays far below the protocol's 64 KiB.
-        return out[:200] + launches[: 400 - len(out[:200])]
+                orders.append(worker_protocol.Order(worker_protocol.HALT, task, attempt, 0.0))
+        # Bounded, so that an answer stays far below the protocol's limit of 64 KiB.
+        return orders[:200] + launches[: 400 - len(orders[:200])]
 
     def mark_urgent(self, machine: Machine) -> None:
-        """Its orders should not wait for its next report."""
-        self.urgent[machine.name] = machine
+        """Have a machine's commands sent directly, without waiting for its next report."""
+        self.urgent_machines[machine.name] = machine
 
     def send_urgent_commands(self, now: float) -> None:
-        """Send urgent orders straight to the workers; the next report's answer repeats them."""
+        """Send urgent commands directly to workers; the answer to the next report repeats them."""
         owner = self.owner
         if not owner.leadership.may_act(now):
             return
-        for machine in list(self.urgent.values()):
+        for machine in list(self.urgent_machines.values()):
             shard = owner.held_shards.get(machine.record.shard)
             if shard is None or shard.yielding or not machine.tasks_known or not machine.addr:
-                del self.urgent[machine.name]
+                del self.urgent_machines[machine.name]
                 continue
             if machine.open_call_count:
                 continue
-            del self.urgent[machine.name]
-            launched = [
+            del self.urgent_machines[machine.name]
+            pending_launches = [
                 p
                 for p in machine.tasks.values()
                 if p.state == LAUNCH_SENT and p.stop_grace_s is None
             ]
-            before = {p.task: p.open_launch_calls for p in launched}
-            orders = self.orders(machine, None)
-            carried = [p for p in launched if p.open_launch_calls > before[p.task]]
+            before = {p.task: p.open_launch_calls for p in pending_launches}
+            orders = self.orders_for(machine, None)
+            sent_launches = [p for p in pending_launches if p.open_launch_calls > before[p.task]]
             if not orders:
                 continue
             token = max(shard.term, machine.stamp)
@@ -697,40 +782,44 @@
                 machine.addr,
                 "POST",
                 "/commands",
-                w.Direct(token, machine.session, orders),
-                self.call_s,
-                self._told(machine, carried, token),
+                worker_protocol.Direct(token, machine.session, orders),
+                self.call_timeout_s,
+                self._direct_command_callback(machine, sent_launches, token),
             )
 
-    def _told(self, machine: Machine, carried: list[Placement], token: int) -> Answer:
+    def _direct_command_callback(
+        self, machine: Machine, sent_launches: list[Placement], token: int
+    ) -> ResponseHandler:
         def done(status: int | None, body: bytes) -> None:
             owner = self.owner
             machine.open_call_count -= 1
             machine.quiescent = False
-            sure = status in (200, 409, 400, 0)
-            for placement in carried:
+            outcome_known = status in (200, 409, 400, 0)
+            for placement in sent_launches:
                 placement.open_launch_calls -= 1
-                if not sure:
-                    # It may be executed late, until the worker has seen a higher token.
-                    self.uncertain_launches.note(machine, placement, token)
+                if not outcome_known:
+                    # The launch may still be executed until the worker has seen a higher token.
+                    self.uncertain_launches.add(machine, placement, token)
             if status not in (200, 409) or owner.machines.get(machine.name) is not machine:
                 return
-            report = decode(body, w.Report)
+            report = decode(body, worker_protocol.Report)
             shard = owner.held_shards.get(machine.record.shard)
             if report is None or shard is None or report.machine != machine.name:
                 return
             try:
-                hands = w.read_hands(report.tasks)
+                reported_tasks = worker_protocol.read_hands(report.tasks)
             except (msgspec.MsgspecError, UnicodeDecodeError):
                 return
-            if self._newer(machine, report):
-                self.read(machine, report, hands, max(shard.term, machine.stamp), hello=False)
+            if self._is_newest(machine, report):
+                self.apply_report(
+                    machine, report, reported_tasks, max(shard.term, machine.stamp), via_hello=False
+                )
 
         return done
 
     def stop_task(self, placement: Placement, grace_s: float, stopped_for: str) -> None:
-        """Stop a task; a second, stricter call shortens its grace."""
-        if placement.state == w.EXITED:
+        """Stop a task; a later call can only shorten its grace period."""
+        if placement.state == worker_protocol.EXITED:
             return
         if placement.stop_grace_s is not None and placement.stop_grace_s <= grace_s:
             return
--- a/tests/test_images.py
+++ b/tests/test_images.py
@@ -68,7 +68,7 @@
 def test_the_cache_keeps_what_was_used_last_and_what_is_in_use() -> None:
     one = machine(1, "a")
     for name, size in (("a", 30.0), ("b", 30.0), ("a", 30.0), ("c", 30.0)):
-        images.used(one, run_of(1, bundle=name, sizeGb=size).spec)
+        images.record_image_use(one, run_of(1, bundle=name, sizeGb=size).spec)
     # 80 GB: of three the one that was not used again goes, not the one that came first.
     assert list(one.images) == ["a", "c"]
 
