--- a/sagecove/coordination/limits/__init__.py
+++ b/sagecove/coordination/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits and guarantees that hold across all controllers: amounts, transfers, who is owed what."""
+"""Team limits and guarantees across all controllers: shares, transfers and claim totals."""
--- a/sagecove/coordination/limits/team_limits.py
+++ b/sagecove/coordination/limits/team_limits.py
@@ -1,4 +1,4 @@
-"""The part of the owner that keeps teams' limits: shares, wants, gifts, changed settings."""
+"""Keeps teams' limits for the shards held here: shares, share requests, transfers, new settings."""
 
 from __future__ import annotations
 
@@ -8,23 +8,23 @@
 from typing import Protocol
 
 from sagecove.config import UNLIMITED, Settings, Team
-from sagecove.coordination.limits.account import Account
 from sagecove.coordination.limits.claim_totals import ClaimTotals
 from sagecove.coordination.limits.records import (
     LIMIT_SPLIT_PREFIX,
     TRANSFERS_PREFIX,
     ZERO,
     ResourceAmount,
-    least,
-    minus,
-    most,
-    plus,
-    within,
+    add,
+    fits_within,
+    maximum,
+    minimum,
+    subtract,
 )
-from sagecove.coordination.limits.rows import Commit, Rows
-from sagecove.coordination.limits.settling import SplitProposer
-from sagecove.coordination.limits.transfers import plan
-from sagecove.coordination.limits.wants import TOLD_POLLS, ShareRequests
+from sagecove.coordination.limits.share_requests import PEER_REPORT_EXPIRY_POLLS, ShareRequests
+from sagecove.coordination.limits.split_proposer import SplitProposer
+from sagecove.coordination.limits.team_shares import TeamShares
+from sagecove.coordination.limits.transfer_plan import plan_transfers
+from sagecove.coordination.limits.transfer_writer import Commit, TransferWriter
 from sagecove.coordination.model import MILLIONTHS_PER_UNIT, JobRun, Shard, to_millionths
 from sagecove.protocol.peers import CompletedClaims, ShareRequest
 from sagecove.protocol.users import Job
@@ -33,27 +33,27 @@
 
 log = logging.getLogger("sagecove.limits")
 
-Pair = tuple[float, float]
+CpusGpus = tuple[float, float]
 
-# A limit of which more than this share is not claimed is far.
-FAR = 0.25
-# What stands for no limit.
-NONE = to_millionths(UNLIMITED)
-# So much of a limit may have come free without being known of here.
-LAG = 1 / 16
+# A team is near its limit unless more than this fraction of the limit is unclaimed.
+NEAR_LIMIT_FRACTION = 0.25
+# The amount that stands for no limit.
+UNLIMITED_MILLIONTHS = to_millionths(UNLIMITED)
+# This fraction of a limit may have been freed by completions that are not known here yet.
+UNKNOWN_COMPLETIONS_FRACTION = 1 / 16
 
 
-class Books(Protocol):
+class ShardUsage(Protocol):
     """What tasks and claims take in a shard held here (CPUs, GPUs in millionths)."""
 
-    def used_parts(self, shard: str, team: str) -> ResourceAmount:
-        """An upper bound of what a team's tasks take on the shard's machines."""
+    def used_millionths(self, shard: str, team: str) -> ResourceAmount:
+        """Return an upper bound of what a team's tasks take on the shard's machines."""
 
-    def known_parts(self, shard: str, team: str) -> ResourceAmount:
-        """The same of machines whose tasks are known."""
+    def known_used_millionths(self, shard: str, team: str) -> ResourceAmount:
+        """Return what a team's tasks take on machines whose tasks are known."""
 
-    def claimed_parts(self, shard: str, team: str) -> ResourceAmount:
-        """What the shard's claims of a team will take."""
+    def claimed_millionths(self, shard: str, team: str) -> ResourceAmount:
+        """Return what the shard's claims of a team will take."""
 
 
 class TeamLimits:
@@ -62,268 +62,309 @@
     def __init__(
         self,
         settings: Settings,
-        held: dict[str, Shard],
-        books: Books,
+        held_shards: dict[str, Shard],
+        usage: ShardUsage,
         claim_totals: ClaimTotals,
         mirror: Mirror,
         commit: Commit,
-        behind: Callable[[], None],
+        request_sync: Callable[[], None],
         random: Random,
     ) -> None:
         self.nodes = settings.nodes
-        # Shards held here.
-        self.held = held
-        # By peer, what it has said of completed claims by team, and when.
-        self.told_ended: dict[str, tuple[dict[str, list[tuple[str, ResourceAmount]]], float]] = {}
+        self.held_shards = held_shards
+        # By peer: the completed claims it last reported, by team, and when.
+        self.completed_by_peer: dict[
+            str, tuple[dict[str, list[tuple[str, ResourceAmount]]], float]
+        ] = {}
         self.now = 0.0
-        self.books = books
+        self.usage = usage
         self.standing = claim_totals
         self.teams: dict[str, Team] = {t.name: t for t in settings.params.teams}
-        self.accounts: dict[str, Account] = {name: Account() for name in self.teams}
-        self.rows = Rows(self.accounts, mirror, commit, behind)
+        self.team_shares: dict[str, TeamShares] = {name: TeamShares() for name in self.teams}
+        self.transfer_writer = TransferWriter(self.team_shares, mirror, commit, request_sync)
         self.split_proposer = SplitProposer(
-            settings, self.accounts, claim_totals, mirror, self.rows, commit, random
+            settings, self.team_shares, claim_totals, mirror, self.transfer_writer, commit, random
         )
         self.share_requests = ShareRequests(
             self.split_proposer.poll_s,
             lambda: [node for node in settings.nodes[1:] if MEMBER + node in mirror.items],
         )
 
-    # -- answers ----------------------------------------------------------------------------------
+    # -- queries ----------------------------------------------------------------------------------
 
     def limit(self, team: str) -> ResourceAmount:
-        """What a team may use by this controller's settings and by what has been agreed: the
-        smaller."""
+        """Return the smaller of a team's configured limit and its agreed limit."""
         limit = self.split_proposer.configured[team]
-        q = self.accounts[team].settlement
-        return least(limit, q.limit) if q is not None else limit
+        split = self.team_shares[team].split
+        return minimum(limit, split.limit) if split is not None else limit
 
     def share(self, shard: str, team: str) -> ResourceAmount:
-        """What a team's tasks may use on a shard's machines."""
-        return self.accounts[team].share(shard)
+        """Return what a team's tasks may use on a shard's machines."""
+        return self.team_shares[team].share(shard)
 
     def committed(self, shard: str, team: str) -> ResourceAmount:
-        """What all of a shard's claims of a team will take, or its tasks take if that is more."""
-        return most(self.books.claimed_parts(shard, team), self.books.used_parts(shard, team))
+        """Return the larger of what a shard's claims of a team will take and its tasks take."""
+        return maximum(
+            self.usage.claimed_millionths(shard, team), self.usage.used_millionths(shard, team)
+        )
 
     def startable(self, shard: str, spec: Job, wanted: int) -> int:
-        """How many more tasks of this kind a shard may start within its share."""
-        if self.frozen(spec.team):
+        """Return how many more tasks of a job a shard may start within its share."""
+        if self.starts_suspended(spec.team):
             return 0
-        used = self.books.used_parts(shard, spec.team)
-        return _count(spec, minus(self.share(shard, spec.team), used), wanted)
+        used = self.usage.used_millionths(shard, spec.team)
+        return _tasks_fitting(spec, subtract(self.share(shard, spec.team), used), wanted)
 
     def claimable(self, shard: str, spec: Job, wanted: int) -> int:
-        """How many more tasks a shard may claim within its share."""
-        if self.frozen(spec.team):
+        """Return how many more tasks of a job a shard may claim within its share."""
+        if self.starts_suspended(spec.team):
             return 0
-        have = self.committed(shard, spec.team)
-        return _count(spec, minus(self.share(shard, spec.team), have), wanted)
+        committed = self.committed(shard, spec.team)
+        return _tasks_fitting(spec, subtract(self.share(shard, spec.team), committed), wanted)
 
     def claims_within_share(self, shard: str, team: str) -> bool:
-        """A shard's claims, those under way included, are within its share."""
-        return not self.frozen(team) and within(
-            self.books.claimed_parts(shard, team), self.share(shard, team)
+        """Return whether a shard's claims, including those being written, fit its share."""
+        return not self.starts_suspended(team) and fits_within(
+            self.usage.claimed_millionths(shard, team), self.share(shard, team)
         )
 
-    def frozen(self, team: str) -> bool:
-        """Nothing of a team starts: its limit is not split yet, or the split is of more than these
-        settings allow, and is about to be lowered; or they know nothing of the team: others were
-        started with later ones, and their jobs' records once ended controllers that were not."""
-        account = self.accounts.get(team)
-        q = account.settlement if account is not None else None
-        return q is None or not within(q.limit, self.split_proposer.configured[team])
+    def starts_suspended(self, team: str) -> bool:
+        """Return whether no task of a team may start.
+
+        That is so while its limit has not been split, or while the split is of more than the
+        settings allow and is about to be lowered. It is also so if the settings do not have the
+        team: other controllers may have been started with newer settings, and records of that
+        team's jobs once made controllers with the older settings exit.
+        """
+        shares = self.team_shares.get(team)
+        split = shares.split if shares is not None else None
+        return split is None or not fits_within(split.limit, self.split_proposer.configured[team])
 
     def claims(self, team: str) -> dict[str, ResourceAmount]:
-        """What a team claims, by shard: as the records have it, less what holders have said, or
-        know here, to have completed since."""
+        """Return what a team claims, by shard.
+
+        These are the claims on record less those that have completed since, as peers reported or
+        as is known here.
+        """
         found = dict(self.standing.claimed.get(team, {}))
-        for told, at in self.told_ended.values():
-            if self.now - at > TOLD_POLLS * self.share_requests.poll_s:
+        for by_team, at in self.completed_by_peer.values():
+            if self.now - at > PEER_REPORT_EXPIRY_POLLS * self.share_requests.poll_s:
                 continue
-            for shard, amount in told.get(team, ()):
-                if shard in found and shard not in self.held:
-                    found[shard] = most(ZERO, minus(found[shard], amount))
-        for shard in self.held:
-            found[shard] = self.books.claimed_parts(shard, team)
+            for shard, amount in by_team.get(team, ()):
+                if shard in found and shard not in self.held_shards:
+                    found[shard] = maximum(ZERO, subtract(found[shard], amount))
+        for shard in self.held_shards:
+            found[shard] = self.usage.claimed_millionths(shard, team)
         return found
 
     def unrecorded_completed_claims(self) -> list[CompletedClaims]:
-        """Of teams near their limits: claims of shards held here that have completed, while the
-        records do not say so yet. A holder writes down completed tasks seconds later."""
-        out = []
+        """Return completed claims of shards held here that are not on record yet.
+
+        Only for teams near their limits. A holder writes completed tasks seconds later.
+        """
+        found = []
         for team in self.teams:
             total, limit = self.standing.total(team), self.limit(team)
-            if total[0] < (1 - FAR) * limit[0] and total[1] < (1 - FAR) * limit[1]:
+            if (
+                total[0] < (1 - NEAR_LIMIT_FRACTION) * limit[0]
+                and total[1] < (1 - NEAR_LIMIT_FRACTION) * limit[1]
+            ):
                 continue
-            table = self.standing.claimed.get(team, {})
-            for shard in self.held:
-                gone = minus(table.get(shard, ZERO), self.books.claimed_parts(shard, team))
-                if gone[0] > 0 or gone[1] > 0:
-                    out.append(CompletedClaims(team, shard, most(ZERO, gone)))
-        return out
-
-    def unclaimed(self, team: str) -> Pair:
-        """What of a team's limit nobody claims, anywhere (CPUs, GPUs)."""
+            recorded = self.standing.claimed.get(team, {})
+            for shard in self.held_shards:
+                completed = subtract(
+                    recorded.get(shard, ZERO), self.usage.claimed_millionths(shard, team)
+                )
+                if completed[0] > 0 or completed[1] > 0:
+                    found.append(CompletedClaims(team, shard, maximum(ZERO, completed)))
+        return found
+
+    def unclaimed(self, team: str) -> CpusGpus:
+        """Return what no shard claims of a team's limit (CPUs, GPUs)."""
         if team not in self.teams:
             return 0.0, 0.0
         rest = self.limit(team)
         for amount in self.claims(team).values():
-            rest = minus(rest, amount)
+            rest = subtract(rest, amount)
         return rest[0] / MILLIONTHS_PER_UNIT, rest[1] / MILLIONTHS_PER_UNIT
 
     def claimable_anywhere(self, spec: Job, wanted: int) -> int:
-        """How many more tasks of this kind a team's limit has room for, wherever that is."""
+        """Return how many more tasks of a job fit its team's limit, in whichever shard."""
         if spec.team not in self.teams:
             return 0
-        left, limit = self.unclaimed(spec.team), self.limit(spec.team)
-        # What has just completed elsewhere is not known here yet.
-        room = [round(left[n] * MILLIONTHS_PER_UNIT) + int(limit[n] * LAG) for n in (0, 1)]
-        return _count(spec, (room[0], room[1]), wanted)
+        unclaimed, limit = self.unclaimed(spec.team), self.limit(spec.team)
+        # Claims that have just completed elsewhere are not known here yet.
+        room = [
+            round(unclaimed[resource] * MILLIONTHS_PER_UNIT)
+            + int(limit[resource] * UNKNOWN_COMPLETIONS_FRACTION)
+            for resource in (0, 1)
+        ]
+        return _tasks_fitting(spec, (room[0], room[1]), wanted)
 
     def has_share(self, shard: str) -> bool:
-        """A part of some team's limit is a shard's, and nobody else's while it has no holder."""
-        return any(account.share(shard) != ZERO for account in self.accounts.values())
-
-    def excess_use(self, shard: str) -> dict[str, Pair]:
-        """By team, what its tasks use in a shard beyond its part of a limit that was lowered."""
-        out = {}
-        for team in self.split_proposer.open:
-            account = self.accounts[team]
-            if account.settlement is not None and not account.settled:
-                over = minus(self.books.known_parts(shard, team), account.share(shard))
+        """Return whether a shard has a share of any limit.
+
+        While the shard has no holder, no other shard can use that share.
+        """
+        return any(shares.share(shard) != ZERO for shares in self.team_shares.values())
+
+    def excess_use(self, shard: str) -> dict[str, CpusGpus]:
+        """Return by team what its tasks use in a shard beyond its share of a lowered limit."""
+        excess = {}
+        for team in self.split_proposer.open_teams:
+            shares = self.team_shares[team]
+            if shares.split is not None and not shares.fully_adopted:
+                over = subtract(self.usage.known_used_millionths(shard, team), shares.share(shard))
                 if over[0] > 0 or over[1] > 0:
-                    out[team] = over[0] / MILLIONTHS_PER_UNIT, over[1] / MILLIONTHS_PER_UNIT
-        return out
+                    excess[team] = over[0] / MILLIONTHS_PER_UNIT, over[1] / MILLIONTHS_PER_UNIT
+        return excess
 
-    # -- wants ------------------------------------------------------------------------------------
+    # -- share requests ---------------------------------------------------------------------------
 
     def request_share(self, now: float, shard: str, job: JobRun, more: int) -> None:
-        """A shard could use more of a team's limit, for so many more tasks of a job than it has
-        claimed. What it wants is told to those who have it."""
+        """Request a larger share for a shard, for `more` tasks of a job than it has claimed."""
         spec = job.spec
         team = spec.team
         if team not in self.teams:
             return
         need = more * to_millionths(spec.cpus), more * to_millionths(spec.gpus)
-        target = plus(self.committed(shard, team), need)
+        target = add(self.committed(shard, team), need)
         limit, total = self.limit(team), self.standing.total(team)
-        step = [0, 0]
-        for n in (0, 1):
-            rest = limit[n] - total[n] - need[n]
-            if need[n] and limit[n] < NONE and rest > limit[n] * FAR:
-                # Far from the limit in coarse steps, to save writes. Not where there is none: steps
-                # of what has no end would be given and wanted back for nothing.
-                step[n] = rest // (2 * len(self.nodes))
-        target = plus(target, (step[0], step[1]))
-        self.share_requests.feel(now, team, shard, job, target, self.share(shard, team))
-
-    def receive_completed_claims(self, now: float, node: str, ended: list[CompletedClaims]) -> None:
-        """All that a peer says of completed claims."""
+        reserve = [0, 0]
+        for resource in (0, 1):
+            rest = limit[resource] - total[resource] - need[resource]
+            if (
+                need[resource]
+                and limit[resource] < UNLIMITED_MILLIONTHS
+                and rest > limit[resource] * NEAR_LIMIT_FRACTION
+            ):
+                # Far from the limit, request more than needed to save writes. Not if there is no
+                # limit: parts of an unlimited amount would go to and fro for nothing.
+                reserve[resource] = rest // (2 * len(self.nodes))
+        target = add(target, (reserve[0], reserve[1]))
+        self.share_requests.request(now, team, shard, job, target, self.share(shard, team))
+
+    def receive_completed_claims(
+        self, now: float, node: str, completed: list[CompletedClaims]
+    ) -> None:
+        """Replace all that a peer reported of completed claims."""
         by_team: dict[str, list[tuple[str, ResourceAmount]]] = {}
-        for one in ended:
-            by_team.setdefault(one.team, []).append((one.shard, one.amount))
-        self.told_ended[node] = by_team, now
+        for claims in completed:
+            by_team.setdefault(claims.team, []).append((claims.shard, claims.amount))
+        self.completed_by_peer[node] = by_team, now
 
-    def receive_requests(self, now: float, node: str, wants: list[ShareRequest]) -> None:
-        """All that a peer wants."""
-        self.share_requests.told(now, node, [want for want in wants if want.team in self.teams])
+    def receive_requests(self, now: float, node: str, requests: list[ShareRequest]) -> None:
+        """Replace all share requests of a peer."""
+        self.share_requests.receive(now, node, [r for r in requests if r.team in self.teams])
 
-    # -- what follows -----------------------------------------------------------------------------
+    # -- changes ----------------------------------------------------------------------------------
 
     def apply_event(self, event: Event, now: float) -> None:
-        """A settlement or a row has changed."""
+        """Apply a changed limit split or transfer record."""
         key, value = event.key, event.value
         if key.startswith(LIMIT_SPLIT_PREFIX):
             team = key[len(LIMIT_SPLIT_PREFIX) :]
-            if (account := self.accounts.get(team)) is None:
+            if (shares := self.team_shares.get(team)) is None:
                 return
-            account.settlement = value
-            account.epoch = event.stamp if value is not None else 0
-            account.changed()
+            shares.split = value
+            shares.epoch = event.stamp if value is not None else 0
+            shares.clear_cache()
         else:
             team, _, shard = key[len(TRANSFERS_PREFIX) :].rpartition("/")
-            if (account := self.accounts.get(team)) is None:
+            if (shares := self.team_shares.get(team)) is None:
                 return
-            account.rows.pop(shard, None)
+            shares.transfers.pop(shard, None)
             if value is not None:
-                account.rows[shard] = value
-            wanted = value.want if value is not None else None
-            if wanted is not None and wanted.shard not in self.held:
-                self.share_requests.told(now, key, [wanted])
+                shares.transfers[shard] = value
+            request = value.want if value is not None else None
+            if request is not None and request.shard not in self.held_shards:
+                self.share_requests.receive(now, key, [request])
             else:
-                self.share_requests.theirs.pop(key, None)
-            self.rows.changed(team, shard)
-        self.split_proposer.open.add(team)
+                self.share_requests.from_peers.pop(key, None)
+            self.transfer_writer.record_changed(team, shard)
+        self.split_proposer.open_teams.add(team)
 
     def shard_lost(self, shard: str) -> None:
-        """A shard is held here no longer."""
-        self.rows.lost(shard)
-        self.share_requests.lost(shard)
+        """Drop writes and requests of a shard that is no longer held here."""
+        self.transfer_writer.shard_lost(shard)
+        self.share_requests.shard_lost(shard)
 
-    def run(self, now: float, acting: list[Shard]) -> None:
-        """After a pass: settle what changed, give what others need, let go of old wants."""
+    def run(self, now: float, active_shards: list[Shard]) -> None:
+        """Do what is due after a pass: adopt and propose splits, transfer and request shares."""
         self.now = now
-        self.share_requests.forget_old(now)
-        self.rows.repeat()
-        if self.split_proposer.open:
-            self.split_proposer.run(now, acting, self.books.used_parts)
-        for team, wants in self.share_requests.by_team().items():
-            self._give(team, acting, wants)
-        shards = {shard.name: shard for shard in acting}
-        for want in self.share_requests.unheard(now):
-            account = self.accounts[want.team]
-            shard = shards.get(want.shard)
-            lacks = not within(want.target, account.share(want.shard))
-            free = account.settled and want.shard not in account.pending
-            if shard is not None and free and lacks:
-                row = account.giving(want.shard, {})
-                row.want = want
-                self.rows.put(want.team, shard, row)
-
-    def _may_give(self, team: str, acting: list[Shard], wants: list[ShareRequest]) -> bool:
-        """Something that is wanted is to spare in a shard held here: most teams at their limits
-        are wanted more of all the time, and a plan for each of them would cost most of a pass."""
-        account = self.accounts[team]
+        self.share_requests.drop_expired(now)
+        self.transfer_writer.repeat_uncertain()
+        if self.split_proposer.open_teams:
+            self.split_proposer.run(now, active_shards, self.usage.used_millionths)
+        for team, requests in self.share_requests.by_team().items():
+            self._transfer(team, active_shards, requests)
+        shards = {shard.name: shard for shard in active_shards}
+        for request in self.share_requests.requests_to_record(now):
+            shares = self.team_shares[request.team]
+            shard = shards.get(request.shard)
+            lacks = not fits_within(request.target, shares.share(request.shard))
+            writable = shares.fully_adopted and request.shard not in shares.pending
+            if shard is not None and writable and lacks:
+                record = shares.transfer_record(request.shard, {})
+                record.want = request
+                self.transfer_writer.write_record(request.team, shard, record)
+
+    def _may_transfer(
+        self, team: str, active_shards: list[Shard], requests: list[ShareRequest]
+    ) -> bool:
+        """Return whether a shard held here can spare something that is requested.
+
+        For most teams at their limits more is requested all the time; planning transfers for each
+        of them would take most of a pass.
+        """
+        shares = self.team_shares[team]
         lacking = [False, False]
-        for want in wants:
-            share = account.share(want.shard)
-            for n in (0, 1):
-                lacking[n] = lacking[n] or want.target[n] > share[n]
+        for request in requests:
+            share = shares.share(request.shard)
+            for resource in (0, 1):
+                lacking[resource] = lacking[resource] or request.target[resource] > share[resource]
         if not any(lacking):
             return False
-        for shard in acting:
-            rest = minus(account.share(shard.name), self.committed(shard.name, team))
-            if any(lacking[n] and rest[n] > 0 for n in (0, 1)):
+        for shard in active_shards:
+            rest = subtract(shares.share(shard.name), self.committed(shard.name, team))
+            if any(lacking[resource] and rest[resource] > 0 for resource in (0, 1)):
                 return True
         return False
 
-    def _give(self, team: str, acting: list[Shard], wants: list[ShareRequest]) -> None:
-        account = self.accounts[team]
-        if not self._may_give(team, acting, wants):
+    def _transfer(
+        self, team: str, active_shards: list[Shard], requests: list[ShareRequest]
+    ) -> None:
+        shares = self.team_shares[team]
+        if not self._may_transfer(team, active_shards, requests):
             return
         by_giver: dict[str, dict[str, ResourceAmount]] = {}
-        for gift in plan(account, self.claims(team), wants):
-            to = by_giver.setdefault(gift.giver, {})
-            to[gift.to] = plus(to.get(gift.to, ZERO), gift.amount)
-        for shard in acting:
-            gifts = by_giver.get(shard.name)
-            if gifts is None or shard.name in account.pending:
+        for transfer in plan_transfers(shares, self.claims(team), requests):
+            by_receiver = by_giver.setdefault(transfer.giver, {})
+            by_receiver[transfer.receiver] = add(
+                by_receiver.get(transfer.receiver, ZERO), transfer.amount
+            )
+        for shard in active_shards:
+            planned = by_giver.get(shard.name)
+            if planned is None or shard.name in shares.pending:
                 continue
-            # Others go by the records; what tasks here take may be more.
-            rest = most(ZERO, minus(account.share(shard.name), self.committed(shard.name, team)))
-            out: dict[str, ResourceAmount] = {}
-            for to_shard, amount in gifts.items():
-                part = least(amount, rest)
+            # The plan goes by claims on record; the tasks here may take more than that.
+            rest = maximum(
+                ZERO, subtract(shares.share(shard.name), self.committed(shard.name, team))
+            )
+            amounts: dict[str, ResourceAmount] = {}
+            for receiver, amount in planned.items():
+                part = minimum(amount, rest)
                 if part != ZERO:
-                    out[to_shard] = part
-                    rest = minus(rest, part)
-            if out:
-                log.info("gift team=%s shard=%s to=%s", team, shard.name, out)
-                self.rows.put(team, shard, account.giving(shard.name, out))
+                    amounts[receiver] = part
+                    rest = subtract(rest, part)
+            if amounts:
+                log.info("gift team=%s shard=%s to=%s", team, shard.name, amounts)
+                self.transfer_writer.write_record(
+                    team, shard, shares.transfer_record(shard.name, amounts)
+                )
 
 
-def _count(spec: Job, room: ResourceAmount, wanted: int) -> int:
+def _tasks_fitting(spec: Job, room: ResourceAmount, wanted: int) -> int:
     count = wanted
     for have, need in ((room[0], to_millionths(spec.cpus)), (room[1], to_millionths(spec.gpus))):
         if need > 0:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,6 +1,8 @@
-"""Limits and guarantees over several controllers: never above, by need, whoever dies or is cut off.
+"""Teams' limits and guarantees hold across several controllers.
 
-`World.check` compares what runs on machines with the limits at every step of these stories.
+Guards against use above a limit, guarantees that are met late, and shares that are lost or counted
+twice when controllers die, are cut off or change their settings. `World.check` compares what runs
+on machines with the limits at every step.
 """
 
 import json
@@ -13,101 +15,108 @@
 from sagecove.lab.world import World
 from sagecove.sweeps.feature import Options
 
-GUESTS = {"name": "guests", "cpus": 0, "cpus_max": 0}
+GUEST_TEAM = {"name": "guests", "cpus": 0, "cpus_max": 0}
 
 
-def team_settings(name: str, cpus: float, most: float, **more: float) -> dict[str, Any]:
-    return {"name": name, "cpus": cpus, "cpus_max": most, "gpus": 0, "gpus_max": 0, **more}
+def team_settings(name: str, cpus: float, cpus_max: float, **others: float) -> dict[str, Any]:
+    return {"name": name, "cpus": cpus, "cpus_max": cpus_max, "gpus": 0, "gpus_max": 0, **others}
 
 
-def world(nodes: int, machines: int, *teams: dict[str, Any], kind: str = "small") -> World:
-    """Controllers that are up, with machines that were there before and none to be rented."""
-    w = World(nodes=nodes, seed=nodes, teams=[*teams, GUESTS])
-    w.cloud.capacity = {"small": 0, "gpu": 0, kind: machines}
-    w.run(3)
+def world_with_machines(
+    nodes: int, machines: int, *teams: dict[str, Any], kind: str = "small"
+) -> World:
+    """Return running controllers with `machines` machines and no more to be rented."""
+    world = World(nodes=nodes, seed=nodes, teams=[*teams, GUEST_TEAM])
+    world.cloud.capacity = {"small": 0, "gpu": 0, kind: machines}
+    world.run(3)
     for number in range(machines):
-        w.cloud.start(kind, "ab"[number % 2], False)
-    w.run(6)
-    return w
+        world.cloud.start(kind, "ab"[number % 2], False)
+    world.run(6)
+    return world
 
 
-def use(w: World, name: str, what: str = "vcpus") -> float:
+def team_use(world: World, name: str, field: str = "vcpus") -> float:
+    """Return what a team's running tasks take of a resource."""
     return sum(
-        w.specs[task.split("/")[0]][what]
-        for worker in w.workers.values()
+        world.specs[task.split("/")[0]][field]
+        for worker in world.workers.values()
         for task in worker.live()
-        if w.specs[task.split("/")[0]]["outfit"] == name
+        if world.specs[task.split("/")[0]]["outfit"] == name
     )
 
 
-def submit_all(w: World, *specs: dict[str, Any]) -> None:
-    """In the same moment, each at another controller."""
+def submit_all(world: World, *specs: dict[str, Any]) -> None:
+    """Submit jobs at the same moment, at different controllers."""
     for number, spec in enumerate(specs):
-        w.ask(f"n{number % w.nodes}", "POST", "/api/jobs", w.spec(spec), lambda s, b: None)
+        world.ask(
+            f"n{number % world.nodes}", "POST", "/api/jobs", world.spec(spec), lambda s, b: None
+        )
 
 
-def fill(w: World, cpus: float) -> None:
-    """Guests take all there is, for good."""
-    for worker in w.workers.values():
+def fill_with_guest_tasks(world: World, cpus: float) -> None:
+    """Let endless tasks of guests take all machines."""
+    for worker in world.workers.values():
         worker.run_s = None
     endless = {"outfit": "guests", "reckonS": 1e6, "hands": int(cpus / 6)}
-    submit_all(w, *(job(900000 + n, **endless) for n in range(3)))
-    w.until(lambda: use(w, "guests") >= cpus, 60)
-    w.run(3)
+    submit_all(world, *(job(900000 + n, **endless) for n in range(3)))
+    world.until(lambda: team_use(world, "guests") >= cpus, 60)
+    world.run(3)
 
 
-def started_task_count(w: World, number: int) -> int:
-    return len({task for _, task, _ in w.starts if task.startswith(f"run-{number:06d}/")})
+def started_task_count(world: World, number: int) -> int:
+    """Return how many tasks of a job have been started."""
+    return len({task for _, task, _ in world.starts if task.startswith(f"run-{number:06d}/")})
 
 
-def shares(w: World, name: str) -> int:
-    """All shares, as their holders know them, in millionths of a CPU."""
-    return sum(o.limits.share(s, name)[0] for o in w.owners.values() for s in o.held_shards)
+def total_share(world: World, name: str) -> int:
+    """Return the sum of a team's shares, as their holders know them, in millionths of a CPU."""
+    return sum(o.limits.share(s, name)[0] for o in world.owners.values() for s in o.held_shards)
 
 
-# -- what was found ------------------------------------------------------------------------------
+# -- regressions ---------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize("nodes", [1, 3])
-def test_a_guarantee_is_not_waited_for_as_long_as_its_own_tasks_run(nodes: int) -> None:
-    # With endless tasks on both sides a team got none of its guarantee in 90 s.
-    w = world(nodes, 18, team_settings("red", 60, 72))
-    fill(w, 72)
-    submit_all(w, job(1, hands=10, reckonS=1e6))
-    assert w.until(lambda: started_task_count(w, 1) == 10, 60) <= 2 * REPORT_S
-
-
-def test_one_job_that_fills_its_guarantee_has_all_of_it_at_once() -> None:
-    # What was claimed ahead of room waited for a whole run of its own tasks: 20 s of 20 s tasks,
-    # while guests still held what was owed.
-    w = world(5, 60, team_settings("red", 200, 240))
-    fill(w, 240)
-    for worker in w.workers.values():
+def test_guarantee_is_met_while_tasks_are_endless(nodes: int) -> None:
+    # With endless tasks on both sides, a team got none of its guarantee in 90 s.
+    world = world_with_machines(nodes, 18, team_settings("red", 60, 72))
+    fill_with_guest_tasks(world, 72)
+    submit_all(world, job(1, hands=10, reckonS=1e6))
+    assert world.until(lambda: started_task_count(world, 1) == 10, 60) <= 2 * REPORT_S
+
+
+def test_job_filling_its_guarantee_starts_whole() -> None:
+    # Tasks claimed before there was room waited for the job's own first tasks to end (20 s), while
+    # guests still used what was owed.
+    world = world_with_machines(5, 60, team_settings("red", 200, 240))
+    fill_with_guest_tasks(world, 240)
+    for worker in world.workers.values():
         worker.run_s = 20.0
-    submit_all(w, job(1, hands=100, reckonS=20.0))
-    assert w.until(lambda: started_task_count(w, 1) == 100, 60) <= 2 * REPORT_S
+    submit_all(world, job(1, hands=100, reckonS=20.0))
+    assert world.until(lambda: started_task_count(world, 1) == 100, 60) <= 2 * REPORT_S
 
 
-def test_teams_that_claim_their_guarantees_at_once_stop_no_more_than_they_need() -> None:
-    # Room made for one was taken by another, which left the last waiting 15 s for its own, and 6 s
-    # at nine controllers when it was only made anew.
+def test_simultaneous_guarantees_stop_no_excess_tasks() -> None:
+    # Room made for one team was taken by another: the last one waited 15 s, and still 6 s with nine
+    # controllers when the room was only made again.
     teams = [team_settings(f"t{n}", 20, 60) for n in range(10)]
-    w = world(9, 60, *teams)
-    fill(w, 240)
-    submit_all(w, *(job(n, outfit=f"t{n}", hands=10, reckonS=1e6) for n in range(10)))
+    world = world_with_machines(9, 60, *teams)
+    fill_with_guest_tasks(world, 240)
+    submit_all(world, *(job(n, outfit=f"t{n}", hands=10, reckonS=1e6) for n in range(10)))
     assert (
-        w.until(lambda: all(started_task_count(w, n) == 10 for n in range(10)), 60) < 2.5 * REPORT_S
+        world.until(lambda: all(started_task_count(world, n) == 10 for n in range(10)), 60)
+        < 2.5 * REPORT_S
     )
-    w.run(5)
-    assert use(w, "guests") >= 240 - 200 - 2 * len(w.owners)
+    world.run(5)
+    assert team_use(world, "guests") >= 240 - 200 - 2 * len(world.owners)
 
 
 @pytest.mark.parametrize("nodes", [1, 3, 5, 9])
-def test_at_a_limit_no_controller_is_beaten_to_an_amount(nodes: int) -> None:
-    # Every controller changed one record: at nine, 74 of 106 transactions on it lost.
-    w = world(nodes, 18, team_settings("red", 0, 40))
+def test_share_transactions_rarely_conflict_at_limit(nodes: int) -> None:
+    # All controllers changed one record: with nine, 74 of 106 transactions on it failed.
+    world = world_with_machines(nodes, 18, team_settings("red", 0, 40))
     written, lost = [0], [0]
-    commit = w.state.commit
+    commit = world.state.commit
 
     def counted(body: dict[str, Any]) -> tuple[int, bytes]:
         status, answer = commit(body)
@@ -118,382 +127,394 @@
             lost[0] += any(key.startswith(("s/limit/", "s/share/")) for key in failed)
         return status, answer
 
-    w.state.commit = counted  # type: ignore[method-assign]
-    submit_all(w, *(job(n, hands=20) for n in range(12)))
-    w.run(20)
+    world.state.commit = counted  # type: ignore[method-assign]
+    submit_all(world, *(job(n, hands=20) for n in range(12)))
+    world.run(20)
     assert lost[0] * 10 <= written[0] <= 60
-    assert use(w, "red") > 30
+    assert team_use(world, "red") > 30
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_lowered_limit_is_obeyed_once_the_first_controller_has_it(seed: int) -> None:
-    # Controllers restarted in turn with 24 instead of 48: a minute later 48 were still used.
-    w = world(3, 18, team_settings("red", 0, 48))
-    for worker in w.workers.values():
+def test_lowered_limit_holds_after_first_restart(seed: int) -> None:
+    # After controllers were restarted in turn with 24 instead of 48 CPUs, 48 were still used a
+    # minute later.
+    world = world_with_machines(3, 18, team_settings("red", 0, 48))
+    for worker in world.workers.values():
         worker.run_s = None
-    submit_all(w, *(job(n, hands=20, reckonS=1e6) for n in range(3)))
-    w.until(lambda: use(w, "red") == 48, 30)
-    w.configured = [team_settings("red", 0, 24), GUESTS]
+    submit_all(world, *(job(n, hands=20, reckonS=1e6) for n in range(3)))
+    world.until(lambda: team_use(world, "red") == 48, 30)
+    world.configured = [team_settings("red", 0, 24), GUEST_TEAM]
     for number in range(3):
-        w.kill(f"n{number}")
-        w.run(1.0 * seed)
-        w.boot_node(number)
+        world.kill(f"n{number}")
+        world.run(1.0 * seed)
+        world.boot_node(number)
         if not number:
-            w.until(lambda: use(w, "red") <= 24, 12)
-            w.teams = w.configured
-        w.run(3)
-    w.run(10)
-    assert 20 <= use(w, "red") <= 24
-    assert shares(w, "red") == 24_000_000
+            world.until(lambda: team_use(world, "red") <= 24, 12)
+            world.teams = world.configured
+        world.run(3)
+    world.run(10)
+    assert 20 <= team_use(world, "red") <= 24
+    assert total_share(world, "red") == 24_000_000
 
 
-def test_a_raised_limit_is_used_when_all_have_it_and_not_before() -> None:
-    w = world(3, 18, team_settings("red", 0, 24))
-    for worker in w.workers.values():
+def test_raised_limit_is_used_after_last_restart() -> None:
+    world = world_with_machines(3, 18, team_settings("red", 0, 24))
+    for worker in world.workers.values():
         worker.run_s = None
-    submit_all(w, *(job(n, hands=20, reckonS=1e6) for n in range(3)))
-    w.until(lambda: use(w, "red") == 24, 30)
-    w.configured = [team_settings("red", 0, 48), GUESTS]
+    submit_all(world, *(job(n, hands=20, reckonS=1e6) for n in range(3)))
+    world.until(lambda: team_use(world, "red") == 24, 30)
+    world.configured = [team_settings("red", 0, 48), GUEST_TEAM]
     for number in range(3):
-        assert use(w, "red") <= 24
-        w.kill(f"n{number}")
-        w.run(1)
+        assert team_use(world, "red") <= 24
+        world.kill(f"n{number}")
+        world.run(1)
         if number == 2:
-            w.teams = w.configured
-        w.boot_node(number)
-        w.run(4)
-    assert w.until(lambda: use(w, "red") == 48, 20) < 10
-
-
-def test_controllers_with_different_settings_go_by_the_smaller() -> None:
-    w = world(3, 18, team_settings("red", 0, 48))
-    w.configured = [team_settings("red", 0, 20), GUESTS]
-    w.kill("n1")
-    w.boot_node(1)
-    w.run(6)
-    w.teams = w.configured
-    submit_all(w, *(job(n, hands=20) for n in range(3)))
-    w.run(30)
-    assert len(w.completed) > 0 and shares(w, "red") == 20_000_000
-
-
-def test_a_team_that_controllers_learn_of_one_after_the_other() -> None:
-    # Its jobs' records reached controllers whose settings did not have it, and these ended.
-    w = world(3, 9, team_settings("red", 0, 20))
-    w.teams = w.configured = [team_settings("red", 0, 20), team_settings("new", 4, 12), GUESTS]
-    w.kill("n0")
-    w.boot_node(0)
-    w.run(3)
-    assert w.submit("n0", job(1, outfit="new", hands=6))[0] == 201
-    assert w.submit("n1", job(2, outfit="new", hands=6))[0] == 422
-    w.run(10)
+            world.teams = world.configured
+        world.boot_node(number)
+        world.run(4)
+    assert world.until(lambda: team_use(world, "red") == 48, 20) < 10
+
+
+def test_smaller_of_differing_limits_holds() -> None:
+    world = world_with_machines(3, 18, team_settings("red", 0, 48))
+    world.configured = [team_settings("red", 0, 20), GUEST_TEAM]
+    world.kill("n1")
+    world.boot_node(1)
+    world.run(6)
+    world.teams = world.configured
+    submit_all(world, *(job(n, hands=20) for n in range(3)))
+    world.run(30)
+    assert len(world.completed) > 0 and total_share(world, "red") == 20_000_000
+
+
+def test_new_team_is_rolled_out_by_restarts() -> None:
+    # Controllers whose settings did not have the team exited when they read its jobs' records.
+    world = world_with_machines(3, 9, team_settings("red", 0, 20))
+    world.teams = world.configured = [
+        team_settings("red", 0, 20),
+        team_settings("new", 4, 12),
+        GUEST_TEAM,
+    ]
+    world.kill("n0")
+    world.boot_node(0)
+    world.run(3)
+    assert world.submit("n0", job(1, outfit="new", hands=6))[0] == 201
+    assert world.submit("n1", job(2, outfit="new", hands=6))[0] == 422
+    world.run(10)
     for number in (1, 2):
-        w.kill(f"n{number}")
-        w.run(1)
-        w.boot_node(number)
-        w.run(3)
-    assert w.submit("n1", job(2, outfit="new", hands=6))[0] == 201
-    w.until(lambda: len(w.completed) == 12, 30)
+        world.kill(f"n{number}")
+        world.run(1)
+        world.boot_node(number)
+        world.run(3)
+    assert world.submit("n1", job(2, outfit="new", hands=6))[0] == 201
+    world.until(lambda: len(world.completed) == 12, 30)
 
 
-# -- by need -------------------------------------------------------------------------------------
+# -- shares follow need --------------------------------------------------------------------------
 
 
-def test_what_others_do_not_use_comes_to_who_needs_it() -> None:
-    # All of the machines are one controller's, and two thirds of the limit are not.
-    w = world(3, 0, team_settings("red", 0, 48))
-    holder = w.owners["n0"]
-    w.cloud.capacity = {"small": 18, "gpu": 0}
+def test_unused_shares_go_to_shard_with_machines() -> None:
+    # One controller has all machines, but only a third of the limit.
+    world = world_with_machines(3, 0, team_settings("red", 0, 48))
+    holder = world.owners["n0"]
+    world.cloud.capacity = {"small": 18, "gpu": 0}
     for _ in range(18):
-        name = w.cloud.start("small", "a", False)
+        name = world.cloud.start("small", "a", False)
         record = {"type": "small", "zone": "a", "spot": False, "shard": "n0"}
-        w.state.commit({"if": [], "then": [{"put": f"s/machine/{name}", "v": record}]})
-    w.run(6)
+        world.state.commit({"if": [], "then": [{"put": f"s/machine/{name}", "v": record}]})
+    world.run(6)
     assert len(holder.machines_by_shard["n0"]) == 18
-    for worker in w.workers.values():
+    for worker in world.workers.values():
         worker.run_s = None
-    submit_all(w, job(1, hands=24, reckonS=1e6))
-    assert w.until(lambda: use(w, "red") == 48, 20) < 5
+    submit_all(world, job(1, hands=24, reckonS=1e6))
+    assert world.until(lambda: team_use(world, "red") == 48, 20) < 5
 
 
 @pytest.mark.parametrize("nodes", [3, 9])
-def test_a_service_that_needs_all_of_a_limit_gathers_it_from_all(nodes: int) -> None:
-    # Each shard holds a part that is smaller than one task of it, and some are held back by arrays.
-    w = world(nodes, 27, team_settings("blue", 0, 8))
+def test_service_gathers_whole_limit(nodes: int) -> None:
+    # Each shard's share is smaller than one task of the service, and arrays hold back some shares.
+    world = world_with_machines(nodes, 27, team_settings("blue", 0, 8))
     submit_all(
-        w, job(1, outfit="blue", shape="service", rank="production", hands=4, samePlace=True)
+        world, job(1, outfit="blue", shape="service", rank="production", hands=4, samePlace=True)
     )
-    w.until(lambda: started_task_count(w, 1) == 4, 20)
-    assert use(w, "blue") == 8
+    world.until(lambda: started_task_count(world, 1) == 4, 20)
+    assert team_use(world, "blue") == 8
 
 
-def test_two_that_need_more_than_half_each_are_served_in_order() -> None:
-    # Each gathers: without an order both would hold a part of what neither can use.
-    w = world(5, 30, team_settings("blue", 0, 10))
+def test_gangs_needing_over_half_of_limit_all_run() -> None:
+    # Without an order, each gang would gather a part of the limit that it can't use.
+    world = world_with_machines(5, 30, team_settings("blue", 0, 10))
     gang = {"outfit": "blue", "shape": "ensemble", "rank": "urgent", "hands": 4}
-    submit_all(w, *(job(n, **gang) for n in range(4)))
-    w.until(lambda: len({t.split("/")[0] for t in w.completed}) == 4, 120)
+    submit_all(world, *(job(n, **gang) for n in range(4)))
+    world.until(lambda: len({t.split("/")[0] for t in world.completed}) == 4, 120)
 
 
-def test_cpus_and_gpus_of_which_different_parts_are_short() -> None:
-    w = world(3, 9, team_settings("red", 0, 60, gpus_max=12), kind="gpu")
+def test_gangs_run_when_cpus_and_gpus_are_short() -> None:
+    world = world_with_machines(3, 9, team_settings("red", 0, 60, gpus_max=12), kind="gpu")
     gang = {"shape": "ensemble", "vcpus": 4.0, "cards": 4, "memoryGb": 16.0, "hands": 3}
     submit_all(
-        w,
+        world,
         *(job(n, vcpus=4.0, hands=6, reckonS=20.0) for n in range(3)),
         *(job(10 + n, **gang) for n in range(2)),
     )
     for _ in range(120):
-        w.run(0.5)
-        assert use(w, "red", "cards") <= 12
-    assert started_task_count(w, 10) == 3 and started_task_count(w, 11) == 3
+        world.run(0.5)
+        assert team_use(world, "red", "cards") <= 12
+    assert started_task_count(world, 10) == 3 and started_task_count(world, 11) == 3
 
 
-def test_who_borrows_gives_back_in_proportion() -> None:
-    # Two teams with guarantees of 4 hold 44 and 24: 40 and 20 borrowed. 24 are asked back.
-    w = world(
+def test_borrowers_give_back_in_proportion() -> None:
+    # Two teams with guarantees of 4 use 44 and 24, so they borrow 40 and 20; 24 are reclaimed.
+    world = world_with_machines(
         3, 18, team_settings("red", 24, 72), team_settings("x", 4, 72), team_settings("y", 4, 72)
     )
-    for worker in w.workers.values():
+    for worker in world.workers.values():
         worker.run_s = None
     submit_all(
-        w, job(1, outfit="x", hands=22, reckonS=1e6), job(2, outfit="y", hands=12, reckonS=1e6)
+        world, job(1, outfit="x", hands=22, reckonS=1e6), job(2, outfit="y", hands=12, reckonS=1e6)
     )
-    w.until(lambda: use(w, "x") + use(w, "y") == 68, 30)
-    before = use(w, "x"), use(w, "y")
-    submit_all(w, job(3, hands=12, reckonS=1e6))
-    w.until(lambda: started_task_count(w, 3) == 12, 30)
-    gave = before[0] - use(w, "x"), before[1] - use(w, "y")
-    # 4 of 72 were free: 20 come back, two thirds and one third of them, give or take one task each.
-    assert sum(gave) == 20
-    assert abs(gave[0] - 2 * sum(gave) / 3) <= 2 * len(w.owners)
-
-
-def test_borrowers_share_by_their_guarantees_and_guests_have_something() -> None:
-    # Without the account the least work went first, whoever it was of.
-    w = world(3, 20, team_settings("x", 4, 80), team_settings("y", 12, 80))
-    for worker in w.workers.values():
+    world.until(lambda: team_use(world, "x") + team_use(world, "y") == 68, 30)
+    before = team_use(world, "x"), team_use(world, "y")
+    submit_all(world, job(3, hands=12, reckonS=1e6))
+    world.until(lambda: started_task_count(world, 3) == 12, 30)
+    given_back = before[0] - team_use(world, "x"), before[1] - team_use(world, "y")
+    # 4 of 72 were free, so 20 come back: two thirds and one third, but for a task per controller.
+    assert sum(given_back) == 20
+    assert abs(given_back[0] - 2 * sum(given_back) / 3) <= 2 * len(world.owners)
+
+
+def test_borrowers_share_by_guarantee_with_some_for_guests() -> None:
+    # Without claim totals the job with the least work came first, whatever its team.
+    world = world_with_machines(3, 20, team_settings("x", 4, 80), team_settings("y", 12, 80))
+    for worker in world.workers.values():
         worker.run_s = 3.0
     for name, first in (("x", 100), ("y", 200), ("guests", 300)):
-        # Those of the team that is to have most are the largest.
+        # The team that should get most has the largest jobs.
         hands = {"x": 10, "y": 30, "guests": 5}[name]
         submit_all(
-            w, *(job(first + n, outfit=name, hands=hands, dueS=600.0) for n in range(900 // hands))
+            world,
+            *(job(first + n, outfit=name, hands=hands, dueS=600.0) for n in range(900 // hands)),
         )
-    w.run(15)
-    begun = len(w.starts)
-    w.run(25)
-    had = {"x": 0, "y": 0, "guests": 0}
-    for _, task, _ in w.starts[begun:]:
-        had[w.specs[task.split("/")[0]]["outfit"]] += 1
-    assert 1.2 < had["y"] / had["x"] < 6 and 0 < had["guests"] < had["x"]
-
-
-def test_what_is_owed_and_from_whom_is_told() -> None:
-    w = world(3, 9, team_settings("red", 12, 36), team_settings("x", 4, 36))
-    fill(w, 36)
-    w.still.update({f"n{n}": w.now + 2 for n in (1, 2)})
-    w.run(0.1)
-    w.submit("n0", job(1, hands=6, reckonS=1e6))
-    told = w.user("n0", "GET", "/explain/run-000001")[1]
-    assert any("owed to team red" in r and "guests (" in r for r in told["reasons"]), told
-    seen = w.user("n0", "GET", "/cluster")[1]
-    red = next(t for t in seen["teams"] if t["name"] == "red")
+    world.run(15)
+    starts_before = len(world.starts)
+    world.run(25)
+    started = {"x": 0, "y": 0, "guests": 0}
+    for _, task, _ in world.starts[starts_before:]:
+        started[world.specs[task.split("/")[0]]["outfit"]] += 1
+    assert 1.2 < started["y"] / started["x"] < 6 and 0 < started["guests"] < started["x"]
+
+
+def test_owed_amounts_and_sources_are_explained() -> None:
+    world = world_with_machines(3, 9, team_settings("red", 12, 36), team_settings("x", 4, 36))
+    fill_with_guest_tasks(world, 36)
+    world.still.update({f"n{n}": world.now + 2 for n in (1, 2)})
+    world.run(0.1)
+    world.submit("n0", job(1, hands=6, reckonS=1e6))
+    explanation = world.user("n0", "GET", "/explain/run-000001")[1]
+    assert any("owed to team red" in r and "guests (" in r for r in explanation["reasons"]), (
+        explanation
+    )
+    cluster = world.user("n0", "GET", "/cluster")[1]
+    red = next(t for t in cluster["teams"] if t["name"] == "red")
     assert red["owed_cpus"] + red["cpus"] == 12 and red["lent_cpus"] == 0
-    idle = next(t for t in seen["teams"] if t["name"] == "x")
+    idle = next(t for t in cluster["teams"] if t["name"] == "x")
     assert idle["lent_cpus"] == 4
 
 
-def test_no_array_waits_without_end_behind_smaller_ones_of_its_standing() -> None:
-    # Each of them could still be in time, so that a large one that could not came after them all.
-    w = world(1, 4, team_settings("red", 0, 64))
-    for worker in w.workers.values():
+def test_large_array_is_not_starved_by_smaller_ones() -> None:
+    # Small arrays that could still meet their deadlines all came before a large one that could not.
+    world = world_with_machines(1, 4, team_settings("red", 0, 64))
+    for worker in world.workers.values():
         worker.run_s = 4.0
-    submit_all(w, job(1, hands=40, outfit="guests", dueS=10.0))
+    submit_all(world, job(1, hands=40, outfit="guests", dueS=10.0))
     for n in range(60):
-        submit_all(w, job(100 + n, hands=6, outfit="guests", dueS=60.0, reckonS=4.0))
-        w.run(1.0)
-    assert len({t for t in w.completed if t.startswith("run-000001/")}) == 40
+        submit_all(world, job(100 + n, hands=6, outfit="guests", dueS=60.0, reckonS=4.0))
+        world.run(1.0)
+    assert len({t for t in world.completed if t.startswith("run-000001/")}) == 40
 
 
-def test_a_gang_that_waits_for_gpus_keeps_no_cpus_from_its_team() -> None:
-    # Whatever a gang lacked, its team's arrays were held back from all.
-    w = world(3, 9, team_settings("red", 0, 60, gpus_max=12), kind="gpu")
-    for worker in w.workers.values():
+def test_gang_waiting_for_gpus_withholds_no_cpus() -> None:
+    # Whichever resource a gang lacked, its team's arrays got none of either.
+    world = world_with_machines(3, 9, team_settings("red", 0, 60, gpus_max=12), kind="gpu")
+    for worker in world.workers.values():
         worker.run_s = None
     gang = {"shape": "ensemble", "vcpus": 4.0, "cards": 4, "memoryGb": 16.0, "hands": 3}
-    submit_all(w, *(job(10 + n, reckonS=1e6, **gang) for n in range(2)))
-    w.until(lambda: started_task_count(w, 10) + started_task_count(w, 11) == 3, 40)
-    submit_all(w, job(1, hands=6, reckonS=1e6))
-    assert w.until(lambda: started_task_count(w, 1) == 6, 30) < 10
+    submit_all(world, *(job(10 + n, reckonS=1e6, **gang) for n in range(2)))
+    world.until(lambda: started_task_count(world, 10) + started_task_count(world, 11) == 3, 40)
+    submit_all(world, job(1, hands=6, reckonS=1e6))
+    assert world.until(lambda: started_task_count(world, 1) == 6, 30) < 10
 
 
 # -- failures ------------------------------------------------------------------------------------
 
 
-def test_amounts_of_a_silent_controller_come_free_at_its_takeover() -> None:
-    w = world(3, 18, team_settings("red", 0, 36))
-    for worker in w.workers.values():
+def test_share_of_silent_controller_is_free_after_takeover() -> None:
+    world = world_with_machines(3, 18, team_settings("red", 0, 36))
+    for worker in world.workers.values():
         worker.run_s = None
-    w.still["n2"] = w.now + 60
-    w.run(1)
-    submit_all(w, job(1, hands=0 + 18, reckonS=1e6))
-    w.run(4)
-    # Its part is a third, and nobody may take it for unused before its lease is over.
-    assert use(w, "red") <= 24
-    taken = w.until(
-        lambda: any("n2" in o.held_shards for n, o in w.owners.items() if n != "n2"), 20
+    world.still["n2"] = world.now + 60
+    world.run(1)
+    submit_all(world, job(1, hands=0 + 18, reckonS=1e6))
+    world.run(4)
+    # Its share is a third of the limit; nobody may treat it as unused before its lease ends.
+    assert team_use(world, "red") <= 24
+    takeover_s = world.until(
+        lambda: any("n2" in o.held_shards for n, o in world.owners.items() if n != "n2"), 20
     )
-    assert taken > 0
-    # Its machines' leases must run out before their use is known.
-    w.until(lambda: use(w, "red") > 24, 30)
+    assert takeover_s > 0
+    # What its machines use is known only after their leases have ended.
+    world.until(lambda: team_use(world, "red") > 24, 30)
 
 
-def test_the_part_of_a_controller_that_never_came_up_is_not_lost() -> None:
-    # Its shard has neither machines nor claims, so that nobody had a reason to take it.
-    w = World(nodes=3, seed=3, teams=[team_settings("red", 0, 24), GUESTS])
-    w.kill("n2")
+def test_share_of_controller_that_never_started_is_used() -> None:
+    # Its shard has neither machines nor claims, so no controller took it over.
+    world = World(nodes=3, seed=3, teams=[team_settings("red", 0, 24), GUEST_TEAM])
+    world.kill("n2")
     for number in range(9):
-        w.cloud.start("small", "ab"[number % 2], False)
-    w.run(5)
-    w.submit("n0", job(1, shape="ensemble", hands=12, reckonS=1e6))
-    w.until(lambda: started_task_count(w, 1) == 12, 25)
-    w.boot_node(2)
-    w.until(lambda: "n2" in w.owners["n2"].held_shards, 15)
-    assert shares(w, "red") == 24_000_000
-
-
-def test_wants_are_heard_through_the_state_service_when_peers_are_cut_off() -> None:
-    w = world(3, 18, team_settings("red", 0, 36))
-    for name in w.owners:
+        world.cloud.start("small", "ab"[number % 2], False)
+    world.run(5)
+    world.submit("n0", job(1, shape="ensemble", hands=12, reckonS=1e6))
+    world.until(lambda: started_task_count(world, 1) == 12, 25)
+    world.boot_node(2)
+    world.until(lambda: "n2" in world.owners["n2"].held_shards, 15)
+    assert total_share(world, "red") == 24_000_000
+
+
+def test_share_requests_reach_peers_through_state_service() -> None:
+    world = world_with_machines(3, 18, team_settings("red", 0, 36))
+    for name in world.owners:
         for number in range(3):
-            w.cut_links.add((name, f"10.0.0.{number}:81"))
-    w.run(8)
-    for worker in w.workers.values():
+            world.cut_links.add((name, f"10.0.0.{number}:81"))
+    world.run(8)
+    for worker in world.workers.values():
         worker.run_s = None
-    # More than one controller's part, in one gang.
-    w.submit("n0", job(1, shape="ensemble", hands=9, reckonS=1e6))
-    w.until(lambda: started_task_count(w, 1) == 9, 40)
+    # The gang needs more than one controller's share.
+    world.submit("n0", job(1, shape="ensemble", hands=9, reckonS=1e6))
+    world.until(lambda: started_task_count(world, 1) == 9, 40)
 
 
 @pytest.mark.parametrize("verdict", ["lost", "late", "unanswered"])
 @pytest.mark.parametrize("victim", ["n0", "n1", "n2"])
-def test_a_controller_dies_while_an_amount_is_on_its_way(verdict: str, victim: str) -> None:
-    # Between the decision and the answer, and between the answer and what follows from it.
-    w = world(3, 18, team_settings("red", 0, 24))
-    for worker in w.workers.values():
+def test_controller_dies_during_share_write(verdict: str, victim: str) -> None:
+    # The controller dies after deciding on the write, before or after its answer.
+    world = world_with_machines(3, 18, team_settings("red", 0, 24))
+    for worker in world.workers.values():
         worker.run_s = 4.0
-    gifts = [0]
+    share_writes = [0]
 
     def hook(node: str, body: dict[str, Any]) -> str | None:
         if any(c.get("put", "").startswith("s/share/") for c in body["then"]):
-            gifts[0] += 1
-            if node == victim and victim in w.owners:
-                w.later(0.001, lambda: w.owners.pop(victim, None))
+            share_writes[0] += 1
+            if node == victim and victim in world.owners:
+                world.later(0.001, lambda: world.owners.pop(victim, None))
             return verdict
         return None
 
-    w.state.hook = hook
+    world.state.hook = hook
     gang = {"shape": "ensemble", "rank": "urgent", "hands": 8}
-    submit_all(w, *(job(n, **gang) for n in range(3)), *(job(10 + n, hands=10) for n in range(3)))
-    w.run(6)
-    w.state.hook = None
-    w.run(6)
-    if victim not in w.owners:
-        w.boot_node(int(victim[1:]))
-    w.until(lambda: len(w.completed) == 54, 150)
-    assert gifts[0] > 0
-    w.run(3)
-    # Nothing is lost for good, and nothing is there twice.
-    assert shares(w, "red") == 24_000_000
+    submit_all(
+        world, *(job(n, **gang) for n in range(3)), *(job(10 + n, hands=10) for n in range(3))
+    )
+    world.run(6)
+    world.state.hook = None
+    world.run(6)
+    if victim not in world.owners:
+        world.boot_node(int(victim[1:]))
+    world.until(lambda: len(world.completed) == 54, 150)
+    assert share_writes[0] > 0
+    world.run(3)
+    # No share is lost or counted twice.
+    assert total_share(world, "red") == 24_000_000
 
 
 @pytest.mark.parametrize("point", range(0, 30, 2))
-def test_a_giver_dies_between_any_two_of_its_effects(point: int) -> None:
-    # What it has decided leaves one effect after the other, and it ends after so many of them.
-    w = world(3, 12, team_settings("red", 0, 24))
-    for worker in w.workers.values():
+def test_giver_dies_between_effects(point: int) -> None:
+    # The controller's effects are emitted one by one, and it dies after `point` of them.
+    world = world_with_machines(3, 12, team_settings("red", 0, 24))
+    for worker in world.workers.values():
         worker.run_s = 3.0
-    emit, left = w.emit, [point]
+    emit, effects_left = world.emit, [point]
 
     def one_by_one(name: str, owner: Any, effects: list[Any]) -> None:
         for effect in effects:
-            if name == "n0" and left[0] == 0 and name in w.owners:
-                w.kill(name)
+            if name == "n0" and effects_left[0] == 0 and name in world.owners:
+                world.kill(name)
             if name == "n0":
-                left[0] -= 1
+                effects_left[0] -= 1
             emit(name, owner, [effect])
 
-    w.emit = one_by_one  # type: ignore[method-assign]
+    world.emit = one_by_one  # type: ignore[method-assign]
     gang = {"shape": "ensemble", "rank": "urgent", "hands": 8}
-    submit_all(w, job(1, **gang), job(2, hands=10), job(3, **gang), job(4, hands=10))
-    w.run(3)
-    if "n0" not in w.owners:
-        w.boot_node(0)
+    submit_all(world, job(1, **gang), job(2, hands=10), job(3, **gang), job(4, hands=10))
+    world.run(3)
+    if "n0" not in world.owners:
+        world.boot_node(0)
     for number, spec in ((1, gang), (2, {"hands": 10}), (3, gang), (4, {"hands": 10})):
-        # Its user repeats what was not answered.
-        w.submit("n1", job(number, **spec))
-    w.until(lambda: len(w.completed) == 36, 90)
-    w.run(3)
-    assert left[0] < 0 and shares(w, "red") == 24_000_000
+        # The user repeats requests that were not answered.
+        world.submit("n1", job(number, **spec))
+    world.until(lambda: len(world.completed) == 36, 90)
+    world.run(3)
+    assert effects_left[0] < 0 and total_share(world, "red") == 24_000_000
 
 
-def test_all_controllers_restart_and_shares_are_as_they_were() -> None:
-    w = world(3, 18, team_settings("red", 0, 36))
-    for worker in w.workers.values():
+def test_shares_survive_restart_of_all_controllers() -> None:
+    world = world_with_machines(3, 18, team_settings("red", 0, 36))
+    for worker in world.workers.values():
         worker.run_s = None
-    submit_all(w, job(1, shape="ensemble", hands=12, reckonS=1e6), job(2, hands=12, reckonS=1e6))
-    w.until(lambda: use(w, "red") == 36, 30)
-    for name in w.controllers():
-        w.kill(name)
-    w.run(3)
+    submit_all(
+        world, job(1, shape="ensemble", hands=12, reckonS=1e6), job(2, hands=12, reckonS=1e6)
+    )
+    world.until(lambda: team_use(world, "red") == 36, 30)
+    for name in world.controllers():
+        world.kill(name)
+    world.run(3)
     for number in range(3):
-        w.boot_node(number)
-    w.run(20)
-    assert use(w, "red") == 36 and shares(w, "red") == 36_000_000
+        world.boot_node(number)
+    world.run(20)
+    assert team_use(world, "red") == 36 and total_share(world, "red") == 36_000_000
 
 
-def test_thirty_teams_cost_no_writes_while_they_are_below_their_limits() -> None:
+def test_teams_below_limits_cause_no_share_writes() -> None:
     teams = [team_settings(f"t{n:02d}", 0, 12) for n in range(30)]
-    w = world(3, 18, *teams)
-    before = w.state.ledger
-    writes = [k for _, k, _ in w.state.changes if k.startswith("s/limit/")]
+    world = world_with_machines(3, 18, *teams)
+    before = world.state.ledger
+    writes = [k for _, k, _ in world.state.changes if k.startswith("s/limit/")]
     assert len(writes) == 31
-    submit_all(w, *(job(n, outfit=f"t{n:02d}", hands=1) for n in range(30)))
-    w.until(lambda: len(w.completed) == 30, 60)
-    assert not [k for at, k, _ in w.state.changes if at > before and k.startswith("s/share/")]
+    submit_all(world, *(job(n, outfit=f"t{n:02d}", hands=1) for n in range(30)))
+    world.until(lambda: len(world.completed) == 30, 60)
+    assert not [k for at, k, _ in world.state.changes if at > before and k.startswith("s/share/")]
 
 
-def test_points_of_a_sweep_are_counted_like_jobs_over_all_controllers() -> None:
-    # They have no records of their own: what they claim is their block's.
-    w = World(
+def test_sweep_points_count_against_limit() -> None:
+    # Points have no records of their own: their claims are in the record of their block.
+    world = World(
         nodes=3,
         seed=3,
         features=maker([("sweeps", Options())]),
-        teams=[team_settings("blue", 0, 10), GUESTS],
+        teams=[team_settings("blue", 0, 10), GUEST_TEAM],
     )
     for number in range(12):
-        w.cloud.start("small", "ab"[number % 2], False)
-    w.run(5)
+        world.cloud.start("small", "ab"[number % 2], False)
+    world.run(5)
     spec = {key: value for key, value in job(1, outfit="blue").items() if key != "nameId"}
     body = {"id": "run-s", "space": "x in 1..60", "job": spec}
-    assert w.user("n1", "POST", "/api/sweeps", body)[0] in (200, 201)
-    submit_all(w, job(7, outfit="blue", hands=10), job(8, outfit="blue", hands=10))
-    most = 0.0
+    assert world.user("n1", "POST", "/api/sweeps", body)[0] in (200, 201)
+    submit_all(world, job(7, outfit="blue", hands=10), job(8, outfit="blue", hands=10))
+    max_use = 0.0
     for _ in range(100):
-        w.run(0.5)
-        most = max(most, use(w, "blue"))
-    assert most == 10
-    w.until(lambda: len(w.completed) == 80, 60)
+        world.run(0.5)
+        max_use = max(max_use, team_use(world, "blue"))
+    assert max_use == 10
+    world.until(lambda: len(world.completed) == 80, 60)
 
 
 @pytest.mark.parametrize("nodes", [5, 9])
-def test_many_teams_with_limits_smaller_than_a_task_a_controller_share_the_room(nodes: int) -> None:
-    # A controller that wanted all teams' limits for the same room gathered them, and none of the
-    # others had any: at fifteen a third of the tasks were done.
+def test_many_teams_with_small_limits_share_room(nodes: int) -> None:
+    # A controller requested shares of all teams' limits for the same room and got them, so the
+    # others had none: with fifteen controllers only a third of the tasks were done.
     teams = [team_settings(f"t{n:02d}", 0, 8) for n in range(12)]
-    w = world(nodes, 24, *teams)
-    submit_all(w, *(job(n, outfit=f"t{n % 12:02d}", hands=12) for n in range(24)))
-    w.run(20)
-    # 96 CPUs, 48 tasks of 5 s and their images at a time.
-    assert len(w.completed) > 110
+    world = world_with_machines(nodes, 24, *teams)
+    submit_all(world, *(job(n, outfit=f"t{n % 12:02d}", hands=12) for n in range(24)))
+    world.run(20)
+    # 96 CPUs run 48 tasks of 5 s at a time, and their images have to be fetched.
+    assert len(world.completed) > 110
