--- a/sagecove/coordination/claims/claimer.py
+++ b/sagecove/coordination/claims/claimer.py
@@ -92,7 +92,7 @@
         ahead = int(share * (len(job.placed) - old))
         if ahead <= 0 or not job.within_guarantee:
             return ahead
-        borrowed = self.limits.standing.borrowed_by_others(job.spec.team)
+        borrowed = self.limits.claim_totals.borrowed_by_others(job.spec.team)
         spec = job.spec
         # Tasks that could have what is borrowed: by the resource they are short of.
         needs = zip(borrowed, (spec.cpus, spec.gpus), strict=True)
@@ -225,7 +225,7 @@
         ):
             return wanted
         lack = wanted * to_millionths(job.spec.cpus), wanted * to_millionths(job.spec.gpus)
-        part = self.limits.standing.reclaim_from_shard(shard, job.spec.team, lack)
+        part = self.limits.claim_totals.reclaim_from_shard(shard, job.spec.team, lack)
         each = to_millionths(job.spec.cpus), to_millionths(job.spec.gpus)
         tasks = max((-(-part[n] // each[n]) for n in (0, 1) if each[n]), default=wanted)
         return max(0, tasks - job.claimed(shard).bit_count())
--- a/sagecove/coordination/claims/preemptor.py
+++ b/sagecove/coordination/claims/preemptor.py
@@ -250,7 +250,9 @@
         out = by_team.pop("", [])
         if len(by_team) < 2:
             return out + [c for group in by_team.values() for c in group]
-        borrowed = {team: max(1e-6, self.limits.standing.borrowing_ratio(team)) for team in by_team}
+        borrowed = {
+            team: max(1e-6, self.limits.claim_totals.borrowing_ratio(team)) for team in by_team
+        }
         given = {team: self.given.get(team, 0.0) for team in by_team}
         while by_team:
             team = min(by_team, key=lambda t: ((given[t] + _stops(by_team[t][0])) / borrowed[t], t))
--- a/sagecove/coordination/explain.py
+++ b/sagecove/coordination/explain.py
@@ -154,7 +154,7 @@
     if not count:
         return []
     lack = count * to_millionths(spec.cpus), count * to_millionths(spec.gpus)
-    sources = owner.limits.standing.reclaim_sources(spec.team, lack)
+    sources = owner.limits.claim_totals.reclaim_sources(spec.team, lack)
     if not sources:
         return [f"{count} tasks are owed to team {spec.team}; nobody borrows what they need"]
     left = max(0.0, owner.preemption_policy.guarantee_wait_s - (owner.wall() - job.submitted_at))
@@ -292,7 +292,7 @@
         cpus, gpus, tasks = used.get(team.name, (0.0, 0.0, 0.0))
         lacks = owed.get(team.name, (0.0, 0.0))
         entitled = [
-            amount / MILLIONTHS_PER_UNIT for amount in owner.limits.standing.entitlement(team)
+            amount / MILLIONTHS_PER_UNIT for amount in owner.limits.claim_totals.entitlement(team)
         ]
         out.append(
             TeamView(
--- a/sagecove/coordination/limits/team_limits.py
+++ b/sagecove/coordination/limits/team_limits.py
@@ -78,7 +78,7 @@
         ] = {}
         self.now = 0.0
         self.usage = usage
-        self.standing = claim_totals
+        self.claim_totals = claim_totals
         self.teams: dict[str, Team] = {t.name: t for t in settings.params.teams}
         self.team_shares: dict[str, TeamShares] = {name: TeamShares() for name in self.teams}
         self.transfer_writer = TransferWriter(self.team_shares, mirror, commit, request_sync)
@@ -146,7 +146,7 @@
         These are the claims on record less those that have completed since, as peers reported or
         as is known here.
         """
-        found = dict(self.standing.claimed.get(team, {}))
+        found = dict(self.claim_totals.claimed.get(team, {}))
         for by_team, at in self.completed_by_peer.values():
             if self.now - at > PEER_REPORT_EXPIRY_POLLS * self.share_requests.poll_s:
                 continue
@@ -164,13 +164,13 @@
         """
         found = []
         for team in self.teams:
-            total, limit = self.standing.total(team), self.limit(team)
+            total, limit = self.claim_totals.total(team), self.limit(team)
             if (
                 total[0] < (1 - NEAR_LIMIT_FRACTION) * limit[0]
                 and total[1] < (1 - NEAR_LIMIT_FRACTION) * limit[1]
             ):
                 continue
-            recorded = self.standing.claimed.get(team, {})
+            recorded = self.claim_totals.claimed.get(team, {})
             for shard in self.held_shards:
                 completed = subtract(
                     recorded.get(shard, ZERO), self.usage.claimed_millionths(shard, team)
@@ -229,7 +229,7 @@
             return
         need = more * to_millionths(spec.cpus), more * to_millionths(spec.gpus)
         target = add(self.committed(shard, team), need)
-        limit, total = self.limit(team), self.standing.total(team)
+        limit, total = self.limit(team), self.claim_totals.total(team)
         reserve = [0, 0]
         for resource in (0, 1):
             rest = limit[resource] - total[resource] - need[resource]
