--- a/bench/limits.py
+++ b/bench/limits.py
@@ -122,7 +122,7 @@
 
 
 def measure_uneven_machines(nodes: int) -> dict[str, float]:
-    """Measure the same with gangs while one controller has two thirds of the machines."""
+    """Measure a team with gangs at its limit; one controller has two thirds of the machines."""
     world = LimitsWorld(nodes, [team_settings("red", 0, 160), team_settings("guests", 0, 0)], 0)
     world.cloud.capacity = {"small": 60, "gpu": 0}
     for number in range(60):
--- a/sagecove/coordination/limits/share_requests.py
+++ b/sagecove/coordination/limits/share_requests.py
@@ -24,8 +24,8 @@
         self.poll_s = poll_s
         # Returns the other controllers that are running.
         self.running_peers = running_peers
-        # By team and shard held here: the request and when it was last repeated; and since when it
-        # stands, or when it was last selected for a record.
+        # By team and shard held here: the request and when it was last repeated; and when it was
+        # first made, or last selected to be written.
         self.own: dict[tuple[str, str], tuple[ShareRequest, float]] = {}
         self.open_since: dict[tuple[str, str], float] = {}
         # By controller, or by the key of a transfer record: all requests and when they arrived.
