--- a/sagecove/coordination/backlog.py
+++ b/sagecove/coordination/backlog.py
@@ -1,9 +1,9 @@
-"""Jobs that wait, sorted so that a pass looks only at what something may be done for.
+"""Sorts waiting jobs so that a scheduling pass looks only at those it may do something for.
 
-Most jobs of a backlog are resting: arrays of which no task is claimed, placed or being claimed, and
-nothing is to be done for them but to claim some task once there is room. Resting jobs that need the
-same, of one team and standing, are alike: if there is no room for one, there is none for the
-others, and the pass looks at one of them. All else is active, and is looked at one by one.
+Most jobs of a backlog are resting: arrays of which no task is claimed, placed or being claimed, so
+that all there is to do is to claim a task once there is room. Resting jobs with the same needs,
+team and precedence form a group: if there is no room for one, there is none for the others, and the
+pass looks at one of them. All other jobs are active, and are looked at one by one.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 from sagecove.coordination.interfaces import BacklogContext
 from sagecove.coordination.model import JobRun, precedence
 
-Key = tuple[object, ...]
+GroupKey = tuple[object, ...]
 
-# Of a large group only the first so many are handed to a pass: more than one pass can claim.
-FIRST = 64
-# Larger groups are put in order less often: so many seconds for each job.
-ORDER_S = 0.0004
-SMALL = 200
-# Jobs without records of their own hardly differ: they are put in order so often (seconds).
-HOMED_S = 1.0
+# Jobs of a large group that are handed to one pass: more than a pass can claim.
+GROUP_JOBS_PER_PASS_COUNT = 64
+# Groups above the small size are sorted less often: after this time for each of their jobs.
+SORT_INTERVAL_PER_JOB_S = 0.0004
+SMALL_GROUP_JOB_COUNT = 200
+# Jobs without records of their own hardly differ, so their groups are sorted at this interval.
+RECORDLESS_SORT_INTERVAL_S = 1.0
 
 
-def resting(job: JobRun) -> bool:
-    """Nothing is to be done for a job but to claim some of its tasks."""
+def is_resting(job: JobRun) -> bool:
+    """Returns whether all there is to do for a job is to claim some of its tasks."""
     return bool(
         job.array
         and not job.claimed_whole
@@ -41,8 +41,8 @@
     )
 
 
-def alike(job: JobRun) -> Key:
-    """Jobs with this in common find room, or none, together."""
+def make_group_key(job: JobRun) -> GroupKey:
+    """Returns the key of a job's group: jobs of one key either all find room or none does."""
     spec = job.spec
     types = tuple(spec.types) if spec.types is not None else None
     return (
@@ -52,41 +52,41 @@
     )
 
 
-class Group:
-    """Resting jobs that are alike."""
+class RestingGroup:
+    """Resting jobs with the same needs, team and precedence."""
 
-    def __init__(self, key: Key) -> None:
+    def __init__(self, key: GroupKey) -> None:
         self.key = key
         self.jobs: dict[str, JobRun] = {}
-        # In order as of `ordered_at`; some may have left since. Those that came since are apart.
-        self.ordered: list[JobRun] = []
-        self.ordered_at = -1e9
-        self.came: list[JobRun] = []
+        # Sorted at `sorted_at`; some may have left since. Jobs added since are in `added`.
+        self.sorted_jobs: list[JobRun] = []
+        self.sorted_at = -1e9
+        self.added: list[JobRun] = []
 
     def any_job(self) -> JobRun:
-        """One of them."""
+        """Returns any job of the group."""
         return next(iter(self.jobs.values()))
 
     def add(self, job: JobRun) -> None:
-        """A job rests."""
+        """Adds a resting job."""
         self.jobs[job.id] = job
-        self.came.append(job)
+        self.added.append(job)
 
 
 class Backlog:
-    """Active jobs, and groups of resting ones."""
+    """Holds the active jobs and the groups of resting jobs."""
 
-    def __init__(self, owner: BacklogContext) -> None:
-        self.owner = owner
+    def __init__(self, context: BacklogContext) -> None:
+        self.context = context
         self.active: dict[str, JobRun] = {}
-        # Active jobs that something has happened to, or is to be done for: passes look at these.
+        # Active jobs that have changed or need something done; passes look at these.
         self.dirty_jobs: dict[str, JobRun] = {}
-        self.groups: dict[Key, Group] = {}
+        self.groups: dict[GroupKey, RestingGroup] = {}
         self.resting_count = 0
 
     def reclassify(self, job: JobRun) -> None:
-        """A job has come, or something about it has changed."""
-        key = alike(job) if resting(job) else None
+        """Puts a new or changed job among the active jobs or into its group."""
+        key = make_group_key(job) if is_resting(job) else None
         if key is not None and key == job.group_key:
             return
         self.remove(job)
@@ -96,13 +96,13 @@
         else:
             group = self.groups.get(key)
             if group is None:
-                group = self.groups[key] = Group(key)
+                group = self.groups[key] = RestingGroup(key)
             job.group_key = group.key
             group.add(job)
             self.resting_count += 1
 
     def remove(self, job: JobRun) -> None:
-        """A job has gone, or is to be sorted anew."""
+        """Removes a job that is gone or about to be reclassified."""
         self.active.pop(job.id, None)
         self.dirty_jobs.pop(job.id, None)
         if job.group_key is not None:
@@ -114,20 +114,20 @@
             job.group_key = None
 
     def reclassify_dirty(self) -> None:
-        """Active jobs may have come to rest without anybody saying so."""
-        for job in [j for j in self.dirty_jobs.values() if resting(j)]:
+        """Moves dirty jobs that have become resting without a call of `reclassify`."""
+        for job in [j for j in self.dirty_jobs.values() if is_resting(j)]:
             self.reclassify(job)
 
     def mark_dirty(self, job: JobRun) -> None:
-        """Something has happened to a job: the next pass looks at it."""
+        """Makes the next pass look at an active job."""
         if job.id in self.active:
             self.dirty_jobs[job.id] = job
 
     @staticmethod
-    def through(job: JobRun, held: list[str]) -> bool:
-        """Nothing is to be done for an active job until something happens to it: all of it that is
-        this controller's is on machines and meant to be. Most active jobs are; no pass looks at
-        them again before they are stirred."""
+    def nothing_to_do(job: JobRun, held: list[str]) -> bool:
+        """Returns whether an active job needs nothing until it changes: all tasks claimed here are
+        on machines and meant to run. That holds for most active jobs, and no pass looks at them
+        before they are marked dirty."""
         if (
             job.cancelled_elsewhere
             or job.unclaimed
@@ -144,36 +144,43 @@
             return False
         return not any(job.placeable(shard) for shard in held)
 
-    def first(self, group: Group, now: float, most: int = FIRST) -> Iterator[JobRun]:
-        """The first jobs of a group by the order of claims, those left out that may not be claimed
+    def first_claimable(
+        self, group: RestingGroup, now: float, most: int = GROUP_JOBS_PER_PASS_COUNT
+    ) -> Iterator[JobRun]:
+        """Yields up to `most` jobs of a group in precedence, without those that may not be claimed
         at the moment."""
-        owner = self.owner
+        context = self.context
         size = len(group.jobs)
-        homed = group.any_job().durable_state is not None
-        if now - group.ordered_at > (
-            HOMED_S if homed else 0.0 if size <= SMALL else size * ORDER_S
+        recordless = group.any_job().durable_state is not None
+        if now - group.sorted_at > (
+            RECORDLESS_SORT_INTERVAL_S
+            if recordless
+            else 0.0
+            if size <= SMALL_GROUP_JOB_COUNT
+            else size * SORT_INTERVAL_PER_JOB_S
         ):
-            group.ordered_at = now
-            group.came = []
-            group.ordered = self.sort_by_precedence(list(group.jobs.values()))
-            ranked = group.ordered
-        elif homed:
-            # They become jobs in their own order.
-            group.ordered += group.came
-            group.came = []
-            ranked = group.ordered
-        elif group.came:
-            # Behind at most one of the first: enough, as the sorting comes soon.
-            ranked = self.sort_by_precedence([*group.ordered[: 4 * most], *group.came])
+            group.sorted_at = now
+            group.added = []
+            group.sorted_jobs = self.sort_by_precedence(list(group.jobs.values()))
+            ranked = group.sorted_jobs
+        elif recordless:
+            # Jobs without records are created in precedence, so added ones go last.
+            group.sorted_jobs += group.added
+            group.added = []
+            ranked = group.sorted_jobs
+        elif group.added:
+            # Sorting added jobs with the first of the others is enough, as the next full sort
+            # comes soon.
+            ranked = self.sort_by_precedence([*group.sorted_jobs[: 4 * most], *group.added])
         else:
-            ranked = group.ordered
+            ranked = group.sorted_jobs
         found = 0
         for job in ranked:
             if (
                 job.id not in group.jobs
                 or now < job.claim_after
                 or now < job.hold_until
-                or owner.failures.fails_everywhere(job)
+                or context.failures.fails_everywhere(job)
             ):
                 continue
             yield job
@@ -182,8 +189,8 @@
                 return
 
     def sort_by_precedence(self, jobs: list[JobRun]) -> list[JobRun]:
-        """Arrays in the order of claims."""
+        """Updates the ranks of arrays and sorts them by precedence, in place."""
         for job in jobs:
-            self.owner.estimates.update_rank(job)
+            self.context.estimates.update_rank(job)
         jobs.sort(key=precedence)
         return jobs
--- a/sagecove/coordination/claims/__init__.py
+++ b/sagecove/coordination/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Competition for claims, placing claimed tasks, stopping others for them, durable results."""
+"""Claims on jobs, placement of claimed tasks, preemption for them, and their durable results."""
--- a/sagecove/coordination/claims/candidates.py
+++ b/sagecove/coordination/claims/candidates.py
@@ -1,4 +1,4 @@
-"""Machines on which room for a job can be made, and by stopping whom."""
+"""Finds machines where preemption makes room for a job, and the tasks to preempt there."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     tasks_fitting,
     unpromised_room,
 )
-from sagecove.coordination.preemption_policy import PreemptionPolicy, may_stop, need
+from sagecove.coordination.preemption_policy import PreemptionPolicy, may_preempt, task_resources
 
 
 class Candidate(NamedTuple):
-    """A machine where room can be made."""
+    """A machine where preemption makes room."""
 
-    # An image is to be fetched.
-    fetch: bool
-    # CPU seconds of work that is stopped.
+    # The machine still has to fetch the job's image.
+    needs_fetch: bool
+    # CPU seconds of work lost by the preempted tasks.
     loss: float
     machine: Machine
     victims: list[Placement]
-    # Tasks of the job that will fit.
+    # Number of tasks of the job that will fit.
     tasks: int
 
 
@@ -34,107 +34,118 @@
     count: int,
     machines: list[Machine],
     promised: RoomByMachine,
-    stopping: PreemptionPolicy,
-    most_loss: float | None = None,
+    policy: PreemptionPolicy,
+    max_loss_cpu_s: float | None = None,
 ) -> list[Candidate]:
-    """Where room for up to `count` tasks of a job can be made, best first. With `most_loss`: only
-    beside its image, and losing no more than so many CPU seconds for a task."""
-    out = _find(now, job, (1, count), machines, promised, stopping, most_loss)
+    """Returns machines where room for up to `count` tasks of a job can be made, best first. With
+    `max_loss_cpu_s`: only machines that have its image, with at most that loss for each task."""
+    out = _search(now, job, (1, count), machines, promised, policy, max_loss_cpu_s)
     if job.gang and sum(c.tasks for c in out) < count:
-        # Not a task a machine, then: as many as each can be made to take.
-        out = _find(now, job, (count, count), machines, promised, stopping, most_loss)
+        # One task on each machine is not enough: put as many on each as it can take.
+        out = _search(now, job, (count, count), machines, promised, policy, max_loss_cpu_s)
     return out
 
 
-def _find(
+def _search(
     now: float,
     job: JobRun,
     wanted: tuple[int, int],
     machines: list[Machine],
     promised: RoomByMachine,
-    stopping: PreemptionPolicy,
-    most_loss: float | None,
+    policy: PreemptionPolicy,
+    max_loss_cpu_s: float | None,
 ) -> list[Candidate]:
-    """`wanted`: tasks to make room for on each machine, and in all."""
-    each, count = wanted
+    """Searches with `wanted` = (tasks to make room for on each machine, tasks in all)."""
+    per_machine, count = wanted
     spec = job.spec
-    patience = stopping.patience(job)
+    patience = policy.patience(job)
     out: list[Candidate] = []
-    counts = tasks_by_zone(job)
+    zone_counts = tasks_by_zone(job)
     for machine in machines:
         if not machine.accepts_tasks or not machine_suits(job, machine):
             continue
-        fetch = not job.array and spec.image not in machine.images
-        if fetch and most_loss is not None:
+        needs_fetch = not job.array and spec.image not in machine.images
+        if needs_fetch and max_loss_cpu_s is not None:
             continue
-        if spec.one_zone and counts and machine.record.zone not in counts:
+        if spec.one_zone and zone_counts and machine.record.zone not in zone_counts:
             continue
-        if spec.spread and counts.get(machine.record.zone, 0) >= (spec.tasks + 1) // 2:
+        if spec.spread and zone_counts.get(machine.record.zone, 0) >= (spec.tasks + 1) // 2:
             continue
         room = unpromised_room(machine, promised)
         victims: list[Placement] = []
-        for p in machine.tasks.values():
-            if not p.takes_room or p.job is None:
+        for placement in machine.tasks.values():
+            if not placement.takes_room or placement.job is None:
                 continue
-            if p.stop_grace_s is not None:
-                room = _with(room, p)
-            elif most_loss is not None and not p.job.array:
-                # With one task a whole gang stops, and takes its time to save.
+            if placement.stop_grace_s is not None:
+                room = _add_task_room(room, placement)
+            elif max_loss_cpu_s is not None and not placement.job.array:
+                # Stopping one task of a gang stops all of it, and saving takes time.
                 continue
-            elif may_stop(job, p.job) and stopping.worth(patience, p.job, p):
-                victims.append(p)
-        victims.sort(key=lambda p: (p.job.priority if p.job else 0, -p.started_at))
+            elif may_preempt(job, placement.job) and policy.worth(
+                patience, placement.job, placement
+            ):
+                victims.append(placement)
+        victims.sort(
+            key=lambda placement: (
+                placement.job.priority if placement.job else 0,
+                -placement.started_at,
+            )
+        )
         chosen: list[Placement] = []
-        while tasks_fitting(spec, room) < each and victims:
+        while tasks_fitting(spec, room) < per_machine and victims:
             chosen.append(victims.pop(0))
-            room = _with(room, chosen[-1])
-        fit = tasks_fitting(spec, room)
-        if fit < 1:
+            room = _add_task_room(room, chosen[-1])
+        fitting = tasks_fitting(spec, room)
+        if fitting < 1:
             continue
-        for p in reversed(chosen[:]):
-            # Who is stopped in vain may stay: one that holds what is not short.
-            without = _with(room, p, -1)
-            if tasks_fitting(spec, without) >= min(fit, count):
+        for placement in reversed(chosen[:]):
+            # Spare victims whose room is not needed, as they hold a resource that is not scarce.
+            without = _add_task_room(room, placement, -1)
+            if tasks_fitting(spec, without) >= min(fitting, count):
                 room = without
-                chosen.remove(p)
-        # A gang's tasks may as well share what came free: fewer machines fetch its image.
-        tasks = min(fit, count) if job.gang else 1
-        loss = sum((now - p.started_at) * p.job.spec.cpus for p in chosen if p.job is not None)
-        if most_loss is None or loss <= most_loss * tasks:
-            out.append(Candidate(fetch, loss, machine, chosen, tasks))
-    out.sort(key=lambda c: (c.fetch, c.loss, c.machine.name))
-    if spec.one_zone and not counts:
-        out = _one_zone(out, count, job.gang)
+                chosen.remove(placement)
+        # A gang's tasks share the room that comes free, so fewer machines fetch its image.
+        tasks = min(fitting, count) if job.gang else 1
+        loss = sum(
+            (now - placement.started_at) * placement.job.spec.cpus
+            for placement in chosen
+            if placement.job is not None
+        )
+        if max_loss_cpu_s is None or loss <= max_loss_cpu_s * tasks:
+            out.append(Candidate(needs_fetch, loss, machine, chosen, tasks))
+    out.sort(key=lambda c: (c.needs_fetch, c.loss, c.machine.name))
+    if spec.one_zone and not zone_counts:
+        out = _best_zone(out, count, job.gang)
     return out
 
 
-def _one_zone(found: list[Candidate], count: int, whole: bool) -> list[Candidate]:
-    """Those in the zone where room for all tasks costs least; if there is none, in the one where it
-    can be made for most (of a gang: nowhere). With several zones, room was made for a gang's tasks
-    in all of them, where they could not start together, and again and again."""
+def _best_zone(found: list[Candidate], count: int, gang: bool) -> list[Candidate]:
+    """Returns the candidates of the zone where room for all tasks costs least. If no zone has room
+    for all, picks the one with room for most (for a gang: none). With candidates of several zones,
+    room was freed again and again for a gang in zones where its tasks could not start together."""
     zones: dict[str, list[Candidate]] = {}
-    for one in found:
-        zones.setdefault(one.machine.record.zone, []).append(one)
+    for candidate in found:
+        zones.setdefault(candidate.machine.record.zone, []).append(candidate)
     best: list[Candidate] = []
-    cost: tuple[float, ...] | None = None
+    best_cost: tuple[float, ...] | None = None
     for zone in sorted(zones):
-        left, fetches, loss = count, 0, 0.0
-        for one in zones[zone]:
+        left, fetch_count, loss = count, 0, 0.0
+        for candidate in zones[zone]:
             if left <= 0:
                 break
-            left -= one.tasks
-            fetches += one.fetch
-            loss += one.loss
-        mine = max(0, left), fetches, loss
-        if (not whole or left <= 0) and (cost is None or mine < cost):
-            best, cost = zones[zone], mine
+            left -= candidate.tasks
+            fetch_count += candidate.needs_fetch
+            loss += candidate.loss
+        zone_cost = max(0, left), fetch_count, loss
+        if (not gang or left <= 0) and (best_cost is None or zone_cost < best_cost):
+            best, best_cost = zones[zone], zone_cost
     return best
 
 
-def _with(
-    room: tuple[float, float, float], p: Placement, sign: int = 1
+def _add_task_room(
+    room: tuple[float, float, float], placement: Placement, sign: int = 1
 ) -> tuple[float, float, float]:
-    """Room with what a task holds (or, with -1, without it)."""
-    assert p.job is not None
-    more = need(p.job)
+    """Returns room plus the resources of a task (with `sign` -1: minus)."""
+    assert placement.job is not None
+    more = task_resources(placement.job)
     return room[0] + sign * more[0], room[1] + sign * more[1], room[2] + sign * more[2]
--- a/sagecove/coordination/claims/claimer.py
+++ b/sagecove/coordination/claims/claimer.py
@@ -1,4 +1,4 @@
-"""Competing for claims on jobs, or on ranges of their tasks."""
+"""Claims jobs, or ranges of their tasks, for the shards that this controller holds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from sagecove.coordination.backlog import Backlog
 from sagecove.coordination.claims.pass_state import PassState
 from sagecove.coordination.claims.preemptor import Preemptor
-from sagecove.coordination.estimates import TO_BEGIN, Estimates
+from sagecove.coordination.estimates import NOT_STARTED_RANK, Estimates
 from sagecove.coordination.images import Images
 from sagecove.coordination.interfaces import MirrorSync, OwnerContext, ShardQueries
 from sagecove.coordination.ledger import Ledger
@@ -17,9 +17,9 @@
 from sagecove.coordination.placement import (
     RoomByMachine,
     add_promised,
+    count_fitting_tasks,
     machine_suits,
     plan_placements,
-    room_for,
     tasks_fitting,
     unpromised_room,
 )
@@ -28,107 +28,100 @@
 from sagecove.storage.records import HOLDER, JOB, tasks_most
 from sagecove.storage.store import Outcome, Result
 
-# The paper's batchSize bounds what one poll claims; here: claims under way at one time.
-BATCH = 4
-# Controllers that were beaten to a record come back one after the other, so many in a poll.
-TURNS = 12
-# Arrays of fewer tasks fit any value, however their tasks complete.
-LARGE = 1000
-# Tasks of an array for which a share of its team's limit is asked at one time.
-ASK_MOST = 200
+CLAIM_BATCH_COUNT = 4  # open claims at one time (the paper's batchSize: claims of one poll)
+TURNS = 12  # controllers that lost the race for a record retry in turn, so many in a poll
+LARGE_TASK_COUNT = 1000  # records of smaller arrays fit any value, in whatever order tasks finish
+REQUEST_TASK_COUNT = 200  # tasks of an array in one request for more of its team's limit
 
 
 class Claimer:
-    """Claims what fits, or could be made to."""
+    """Claims tasks that fit free room, or room that preemption can free."""
 
     def __init__(
         self,
-        desk: OwnerContext,
-        ground: PassState,
-        making: Preemptor,
+        context: OwnerContext,
+        state: PassState,
+        preemptor: Preemptor,
         ledger: Ledger,
         limits: TeamLimits,
         backlog: Backlog,
-        learning: Estimates,
+        estimates: Estimates,
         shards: ShardQueries,
         sync: MirrorSync,
         images: Images,
     ) -> None:
-        self.desk = desk
+        self.context = context
         self.images = images
         self.ledger = ledger
         self.limits = limits
         self.backlog = backlog
-        self.learning = learning
+        self.estimates = estimates
         self.shards = shards
         self.sync = sync
-        self.ground = ground
-        self.making = making
+        self.state = state
+        self.preemptor = preemptor
         # DESIGN's fetchAhead, 4 s beside a poll of 1.5 s: short tasks are claimed before there is
-        # room for them, or an array of thousands would need a write for each handful.
-        self.ahead_s = ground.poll_s * 8 / 3
-        self.open_claims = 0
-        # Share of claims that came second lately.
-        self.beaten = 0.0
-        # Jobs of the pass that wait to be claimed, by standing.
-        self.crowd: dict[tuple[bool, bool, int], int] = {}
+        # room for them; otherwise an array of thousands needs a write for every few tasks.
+        self.claim_ahead_s = state.poll_s * 8 / 3
+        self.open_claim_count = 0
+        self.lost_share = 0.0  # moving average: share of claims lost to other controllers
+        self.unclaimed_jobs: dict[tuple[bool, bool, int], int] = {}  # count by fixed precedence
 
-    def ahead(self, job: JobRun) -> int:
-        """How many tasks of an array will find room soon, as those that run here come to an end.
-        Estimates may be far too low: what has run for longer than that does not count."""
+    def claim_ahead_count(self, job: JobRun) -> int:
+        """Counts the tasks of an array that will soon find room as its running tasks end here.
+        Tasks that have run far longer than estimated are left out."""
         if not job.array or job.judged_faulty or not job.placed:
             return 0
-        run = job.spec.estimate_s * self.learning.class_run.get(job.spec.klass, 1.0)
-        share = min(1.0, self.ahead_s / max(run, self.ground.poll_s))
+        run_s = job.spec.estimate_s * self.estimates.run_time_ratios.get(job.spec.klass, 1.0)
+        share = min(1.0, self.claim_ahead_s / max(run_s, self.state.poll_s))
         if len(job.placed) * share < 1:
             return 0
-        begun = self.desk.now - 2 * run - self.ahead_s
-        # They stand in the order of their starts, and few have run for so long.
-        old = 0
+        oldest_start = self.context.now - 2 * run_s - self.claim_ahead_s
+        overdue_count = 0  # placements are in start order, and few have run for so long
         for placement in job.placed.values():
-            if placement.started_at >= begun:
+            if placement.started_at >= oldest_start:
                 break
-            old += 1
-        ahead = int(share * (len(job.placed) - old))
+            overdue_count += 1
+        ahead = int(share * (len(job.placed) - overdue_count))
         if ahead <= 0 or not job.within_guarantee:
             return ahead
         borrowed = self.limits.standing.borrowed_by_others(job.spec.team)
         spec = job.spec
-        # Tasks that could have what is borrowed: by the resource they are short of.
+        # Number of tasks that fit what other teams borrow, by the scarcer resource.
         needs = zip(borrowed, (spec.cpus, spec.gpus), strict=True)
-        if most := max((int(amount / each) for amount, each in needs if each > 0), default=0):
-            # Tasks that were started together end together. Claimed ahead by what ends on average,
-            # the last of a guarantee waited here for a whole run while others held what was owed:
-            # for as many as could have that, only what ends in time counts.
-            ending = self.desk.now + self.ahead_s - run
-            surely = sum(begun <= p.started_at <= ending for p in job.placed.values())
-            ahead = max(surely, ahead - most)
+        if most := max((int(amount / size) for amount, size in needs if size > 0), default=0):
+            # Tasks started together end together. Claimed by the average end rate, the last of a
+            # guarantee waited a whole run here while others held their room, so for as many tasks
+            # as fit the borrowed room only those that end in time count.
+            ending = self.context.now + self.claim_ahead_s - run_s
+            ending_count = sum(oldest_start <= p.started_at <= ending for p in job.placed.values())
+            ahead = max(ending_count, ahead - most)
         return ahead
 
     def count_fitting(
         self, job: JobRun, shard: str, machines: list[Machine], promised: RoomByMachine
     ) -> int:
-        """How many unclaimed tasks fit this shard's free room; they are added to `promised`."""
+        """Counts unclaimed tasks that fit the shard's free room, and adds them to `promised`."""
         bits = job.unclaimed
         wanted = self.limits.claimable(shard, job.spec, bits.bit_count())
-        wanted = self.making.limited(job, wanted)
+        wanted = self.preemptor.cap(job, wanted)
         if job.claimed_whole and wanted < bits.bit_count():
             return 0
         if not wanted:
             return 0
         indexes = list(taskset.members(taskset.lowest(bits, min(wanted, 1000))))
-        if self.ground.array_candidates is not None and job.array:
-            machines = self.ground.array_candidates
+        if self.state.array_candidates is not None and job.array:
+            machines = self.state.array_candidates
         count = len(
             plan_placements(
-                job, indexes, machines, self.desk.random, promised, False, self.ground.withheld
+                job, indexes, machines, self.context.random, promised, False, self.state.withheld
             )
         )
         if count < len(indexes) and not job.gang:
-            self.ground.no_room.add(job)
+            self.state.no_room.add(job)
         return count
 
-    def compete(
+    def try_claim(
         self,
         now: float,
         shard: Shard,
@@ -136,150 +129,139 @@
         job: JobRun,
         promised: RoomByMachine,
     ) -> None:
+        """Claims as many unclaimed tasks of a job as the shard can run, or asks for more room."""
         if job.claiming is not None and job.claiming[0] == shard.name:
             indexes = list(taskset.members(taskset.lowest(job.claiming[1], 1000)))
-            plan_placements(job, indexes, machines, self.desk.random, promised)
+            plan_placements(job, indexes, machines, self.context.random, promised)
             return
-        if self.open_claims >= BATCH and job.durable_state is None:
+        if self.open_claim_count >= CLAIM_BATCH_COUNT and job.durable_state is None:
             return
         if job.cancelled_elsewhere or job.committing or now < max(job.claim_after, job.hold_until):
             return
         bits = job.unclaimed
         if not bits or (job.claimed_whole and bits != job.all_tasks & ~job.finished):
             return
-        if job.array and self._leave_to_others(job):
+        if job.array and self._skip_contended_job(job):
             return
         wanted = bits.bit_count()
         count = 0
-        if leave := self.images.count_left_to_peers(job, machines, promised, wanted):
-            if leave == wanted:
+        if left_to_peers := self.images.count_left_to_peers(job, machines, promised, wanted):
+            if left_to_peers == wanted:
                 return
-            wanted -= leave
+            wanted -= left_to_peers
             bits = taskset.lowest(bits, wanted)
-        if not self.ground.no_room.known(job):
+        if not self.state.no_room.covers(job):
             count = self.count_fitting(job, shard.name, machines, promised)
-        if job.array and job.array_rank[:2] == (-1, TO_BEGIN):
+        if job.array and job.array_rank[:2] == (-1, NOT_STARTED_RANK):
             count = wanted = min(count, 1)
-        planned = count
-        # Of a small array the others should find something, too.
-        ahead = min(self.ahead(job), wanted // len(self.desk.settings.nodes))
+        planned_count = count
+        # Leave part of a small array to the other controllers.
+        waited_s = now - job.first_seen_at
+        ahead = min(self.claim_ahead_count(job), wanted // len(self.context.settings.nodes))
         ahead -= job.placeable(shard.name).bit_count()
         if ahead > 0 and not job.claimed_whole:
-            count = self.making.limited(
+            count = self.preemptor.cap(
                 job, self.limits.claimable(shard.name, job.spec, min(wanted, count + ahead))
             )
-        if (
-            job.claimed_whole
-            and count < wanted
-            and not job.gang
-            and now - job.first_seen_at > self.ground.poll_s
-        ):
-            # A service that must be decided in one place starts with what there is.
-            count = wanted if count else 0
+        if job.claimed_whole and count < wanted and not job.gang and waited_s > self.state.poll_s:
+            count = wanted if count else 0  # a whole service starts with the room there is
         if job.judged_faulty:
-            # One task is enough to see; and nothing is stopped for it.
+            # One task is enough to probe a faulty job, and nothing is preempted for it.
             count = min(count, wanted if job.claimed_whole else 1)
-        elif (
-            self.ground.making
-            and count < wanted
-            and now - job.first_seen_at > self.ground.poll_s / 3
-        ):
-            able = self.making.limited(job, self.limits.claimable(shard.name, job.spec, wanted))
-            if able > count:
-                able = min(able, count + self._part(now, job, shard.name))
-                count += self.making.count_fitting_by_preemption(job, able - count, promised)
+        elif self.state.preemption_due and count < wanted and waited_s > self.state.poll_s / 3:
+            allowed = self.preemptor.cap(job, self.limits.claimable(shard.name, job.spec, wanted))
+            if allowed > count:
+                allowed = min(allowed, count + self._reclaim_part(now, job, shard.name))
+                count += self.preemptor.count_fitting_by_preemption(job, allowed - count, promised)
         if not count or (job.claimed_whole and count < wanted):
-            # Asked for first: what is gathered for the gang itself looks taken. One whose machines
-            # were there only after it had begun to gather never asked for its part of the limit.
-            self._ask(now, shard.name, job, machines, promised)
+            # Before reserving: reserved room looks taken, and a gang whose machines came up only
+            # after it had begun to reserve never requested its share of the limit.
+            self._request_share(now, shard.name, job, machines, promised)
             if job.gang:
-                self._gather(job, shard, wanted, machines, promised)
+                self._reserve_for_gang(job, shard, wanted, machines, promised)
             return
         if count < wanted:
-            self._ask(now, shard.name, job, machines, promised, min(count, planned))
+            self._request_share(now, shard.name, job, machines, promised, min(count, planned_count))
         if (count := self.limit_to_record_size(job, count)) > 0:
             self.claim(job, shard, taskset.lowest(bits, count))
 
     def limit_to_record_size(self, job: JobRun, count: int) -> int:
-        """How many of `count` more tasks the job's record has room for, whatever completes first.
-        At 8 KiB a value the record of a huge array outgrew it, and none of its results could be
-        written any more."""
-        if not job.array or job.durable_state is not None or job.spec.tasks < LARGE:
+        """Caps `count` at the tasks whose claims fit the job's record, whatever finishes first.
+        Records of huge arrays outgrew a value of 8 KiB, and no result could be written any more."""
+        if not job.array or job.durable_state is not None or job.spec.tasks < LARGE_TASK_COUNT:
             return count
         held = job.all_tasks & ~job.finished & ~job.unclaimed
-        settings = self.desk.settings
+        settings = self.context.settings
         most = tasks_most(
             job.record, job.finished, held, len(settings.nodes), settings.params.state.value_kb
         )
         return min(count, most - held.bit_count())
 
-    def _part(self, now: float, job: JobRun, shard: str) -> int:
-        """For how many more tasks of a job this shard is to make room: those that borrow give back
-        in proportion, wherever they run, so each controller has a part that all others find too.
-        What is lacking after two polls is made wherever it can be."""
+    def _reclaim_part(self, now: float, job: JobRun, shard: str) -> int:
+        """Counts the tasks that this shard preempts for. Borrowers give back in proportion on all
+        shards, so each controller has a part, which all compute alike; after two polls, any."""
         wanted = job.unfinished.bit_count()
         if (
             not job.within_guarantee
             or not job.array
-            or now - job.first_seen_at > 2 * self.ground.poll_s
+            or now - job.first_seen_at > 2 * self.state.poll_s
         ):
             return wanted
         lack = wanted * to_millionths(job.spec.cpus), wanted * to_millionths(job.spec.gpus)
         part = self.limits.standing.reclaim_from_shard(shard, job.spec.team, lack)
-        each = to_millionths(job.spec.cpus), to_millionths(job.spec.gpus)
-        tasks = max((-(-part[n] // each[n]) for n in (0, 1) if each[n]), default=wanted)
+        per_task = to_millionths(job.spec.cpus), to_millionths(job.spec.gpus)
+        tasks = max((-(-part[n] // per_task[n]) for n in (0, 1) if per_task[n]), default=wanted)
         return max(0, tasks - job.claimed(shard).bit_count())
 
-    def _ask(
+    def _request_share(
         self,
         now: float,
         shard: str,
         job: JobRun,
         machines: list[Machine],
         promised: RoomByMachine,
-        planned: int = 0,
+        planned_count: int = 0,
     ) -> None:
-        """Ask for more of the team's limit, if that is what keeps tasks from room there is here, or
-        that could be made."""
+        """Requests more of the team's limit if only that keeps tasks from room here."""
         wanted = job.unclaimed.bit_count()
-        able = self.limits.claimable(shard, job.spec, wanted)
-        if able >= wanted or job.judged_faulty or not self.ground.making:
+        allowed = self.limits.claimable(shard, job.spec, wanted)
+        if allowed >= wanted or job.judged_faulty or not self.state.preemption_due:
             return
-        if not self.making.limited(job, 1):
-            # It may not have what it would be given.
-            return
-        # No more than nobody uses: wanting what there is not takes the room from other teams.
+        if not self.preemptor.cap(job, 1):
+            return  # what its team holds back would keep it from using the share
+        # At most what nobody uses: requesting more would take room from other teams.
         most = self.limits.claimable_anywhere(
-            job.spec, wanted if job.claimed_whole else min(wanted, ASK_MOST)
+            job.spec, wanted if job.claimed_whole else min(wanted, REQUEST_TASK_COUNT)
         )
-        if most <= able or (job.claimed_whole and most < wanted):
+        if most <= allowed or (job.claimed_whole and most < wanted):
             return
-        found = planned + room_for(job, machines, promised, self.ground.asked, most - planned)
+        found = planned_count + count_fitting_tasks(
+            job, machines, promised, self.state.requested_room, most - planned_count
+        )
         if found < most:
-            found += self.making.count_fitting_by_preemption(job, most - found, promised)
-        if found > able and (found >= wanted or not job.claimed_whole):
+            found += self.preemptor.count_fitting_by_preemption(job, most - found, promised)
+        if found > allowed and (found >= wanted or not job.claimed_whole):
             self.limits.request_share(now, shard, job, found)
 
-    def note_crowd(self, jobs: list[JobRun]) -> None:
-        """Jobs of a pass: how many wait to be claimed, by their standing."""
-        self.crowd.clear()
+    def count_unclaimed_jobs(self, jobs: list[JobRun]) -> None:
+        """Counts the jobs of a pass that have unclaimed tasks, by fixed precedence."""
+        self.unclaimed_jobs.clear()
         for job in jobs:
             if job.unclaimed:
                 key = fixed_precedence(job)
-                self.crowd[key] = self.crowd.get(key, 0) + 1
+                self.unclaimed_jobs[key] = self.unclaimed_jobs.get(key, 0) + 1
 
-    def _leave_to_others(self, job: JobRun) -> bool:
-        """Of a long backlog all controllers would reach for the same few jobs, the first
-        in the order, and with five of them four were always beaten: 8 jobs a second claimed by
-        all together, with a thousand machines idle. Who is beaten looks further down, by chance,
-        the more the more often; who is not keeps to the order. Not where there is nothing further
-        down that comes as soon: one job that fills a guarantee was claimed bit by bit."""
-        if self.crowd.get(fixed_precedence(job), 0) <= 1:
+    def _skip_contended_job(self, job: JobRun) -> bool:
+        """Skips a job at random, the more often the more claims were lost lately: five controllers
+        that all tried the first jobs of a long backlog lost four claims of five, and claimed 8 jobs
+        a second with 1000 machines idle. Never skips the only job of its precedence: one that fills
+        a guarantee was claimed bit by bit."""
+        if self.unclaimed_jobs.get(fixed_precedence(job), 0) <= 1:
             return False
-        nodes = len(self.desk.settings.nodes)
-        return self.desk.random.random() < self.beaten * (1 - 1 / nodes)
+        nodes = len(self.context.settings.nodes)
+        return self.context.random.random() < self.lost_share * (1 - 1 / nodes)
 
-    def _gather(
+    def _reserve_for_gang(
         self,
         job: JobRun,
         shard: Shard,
@@ -287,28 +269,29 @@
         machines: list[Machine],
         promised: RoomByMachine,
     ) -> None:
-        """A gang does not fit yet. Smaller ones may go ahead of it for as long as its own machines
-        take to boot; from then on what is free where it is served, in one zone if need be, waits
-        for it, or it might never find its number: of gangs whose tasks share machines a large one
-        was passed by for good."""
-        if not self.making.long_waiting(self.desk.now, job) or not self.making.allowed(job):
+        """Reserves free room of its home shard (in one zone if required) for a gang that does not
+        fit yet and has waited longer than its machines take to boot. Without that, smaller gangs
+        passed a large one by for good where tasks share machines."""
+        if not self.preemptor.waits_long(
+            self.context.now, job
+        ) or not self.preemptor.limit_has_room(job):
             return
         spec = job.spec
-        here = [
+        suitable = [
             m
-            for m in self.desk.machines_by_shard.get(shard.name, {}).values()
+            for m in self.context.machines_by_shard.get(shard.name, {}).values()
             if m.machine_type is not None and not m.record.leaving and machine_suits(job, m)
         ]
         home = self.shards.home_shard(job)
         if spec.one_zone:
-            # The zone with most of such machines, whatever is free at the moment: it stays so.
+            # The zone with most machines, whatever is free at the moment: a stable choice.
             zones = Counter(
-                m.record.zone for m in self.desk.machines_by_shard.get(home, {}).values()
+                m.record.zone for m in self.context.machines_by_shard.get(home, {}).values()
             )
             zone = max(sorted(zones), key=lambda z: zones[z], default="")
-            here = [m for m in here if m.record.zone == zone]
+            suitable = [m for m in suitable if m.record.zone == zone]
         if home == shard.name:
-            names = {m.name for m in here}
+            names = {m.name for m in suitable}
             for machine in machines:
                 more = min(count, tasks_fitting(spec, unpromised_room(machine, promised)))
                 if more > 0 and machine.name in names:
@@ -317,14 +300,14 @@
                 if count <= 0:
                     break
             return
-        # What its home cannot hold comes from the others, and only empty machines can: each lets
-        # its part of them run empty, those with least on them, and hands them over then.
+        # Only empty machines can be handed over: for what the home shard cannot hold, each other
+        # shard lets its part of them run empty, least used first.
         part = -(
             -self.shards.tasks_beyond_capacity(job, home)
-            // max(1, len(self.desk.settings.nodes) - 1)
+            // max(1, len(self.context.settings.nodes) - 1)
         )
-        here.sort(key=lambda m: (m.used[0], m.name))
-        for machine in here:
+        suitable.sort(key=lambda m: (m.used[0], m.name))
+        for machine in suitable:
             if part <= 0:
                 break
             kind = machine.machine_type
@@ -336,7 +319,7 @@
                 held[n] += max(0.0, room[n])
 
     def claim(self, job: JobRun, shard: Shard, bits: int) -> None:
-        """Claim tasks for a shard, within its share of the limit."""
+        """Writes a claim on tasks for a shard, within its share of the team's limit."""
         if job.durable_state is not None:
             job.committing = True
             job.claiming = (shard.name, bits)
@@ -346,9 +329,9 @@
             return
         change = self.claim_write(shard, job, bits)
         if change is None:
-            job.claim_after = self.desk.now + self.ground.poll_s / 2
+            job.claim_after = self.context.now + self.state.poll_s / 2
             return
-        self.open_claims += 1
+        self.open_claim_count += 1
         job.committing = True
         job.claiming = (shard.name, bits)
         self.backlog.reclassify(job)
@@ -358,34 +341,33 @@
             job.committing = False
             job.claiming = None
             self.ledger.update_claims(job)
-            self.open_claims -= 1
-            self.desk.pass_needed = True
-            beaten = result.outcome is Outcome.CONFLICT and JOB + job.id in result.failed
-            self.beaten += (float(beaten) - self.beaten) / (2 * BATCH)
+            self.open_claim_count -= 1
+            self.context.pass_needed = True
+            lost_race = result.outcome is Outcome.CONFLICT and JOB + job.id in result.failed
+            self.lost_share += (float(lost_race) - self.lost_share) / (2 * CLAIM_BATCH_COUNT)
             if result.outcome is Outcome.DONE:
                 return
-            self.desk.count("claim_conflicts")
+            self.context.count("claim_conflicts")
             self.sync.request_sync()
-            if beaten and job.array:
-                job.claim_after = self.desk.now + self._turn(job) * self.ground.poll_s / TURNS
+            if lost_race and job.array:
+                job.claim_after = self.context.now + self._turn(job) * self.state.poll_s / TURNS
             else:
                 job.claim_after = (
-                    self.desk.now + self.desk.random.uniform(0.1, 1.0) * self.ground.poll_s
+                    self.context.now + self.context.random.uniform(0.1, 1.0) * self.state.poll_s
                 )
 
         conditions = [(JOB + job.id, job.stamp), (HOLDER + shard.name, shard.term)]
-        self.desk.commit(conditions, [change], done)
+        self.context.commit(conditions, [change], done)
 
     def _turn(self, job: JobRun) -> float:
-        """When to come back to a job's record: those who were beaten to it come one after the
-        other, in an order drawn by the job, not all at once again."""
-        nodes = sorted(self.desk.settings.nodes, key=lambda n: crc32(f"{job.id} {n}".encode()))
-        turn = nodes.index(self.desk.settings.node)
-        return turn + self.desk.random.uniform(0.5, 1.0)
+        """Returns this controller's turn to retry a record: the losers of a race retry one after
+        the other, in an order that depends on the job, not all at once again."""
+        nodes = sorted(self.context.settings.nodes, key=lambda n: crc32(f"{job.id} {n}".encode()))
+        turn = nodes.index(self.context.settings.node)
+        return turn + self.context.random.uniform(0.5, 1.0)
 
     def claim_write(self, shard: Shard, job: JobRun, bits: int) -> wire.Put | None:
-        """The write of a claim; None where the shard's share of its team's limit stands against
-        it."""
+        """Returns the write of a claim; None if the shard's share of the limit is too small."""
         count = bits.bit_count()
         if self.limits.claimable(shard.name, job.spec, count) < count:
             return None
@@ -393,24 +375,24 @@
         claims[shard.name] = claims.get(shard.name, 0) | bits
         return wire.Put(JOB + job.id, job.with_sets(job.finished, claims))
 
-    def claim_alike(
+    def claim_similar(
         self, now: float, shard: Shard, jobs: list[JobRun], promised: RoomByMachine
     ) -> list[JobRun]:
-        """Claim as many of the jobs that are alike as fit, and return the others."""
+        """Claims as many of these similar one-task jobs as fit, and returns the others."""
         first = jobs[0]
         wanted = self.limits.claimable(shard.name, first.spec, len(jobs))
-        wanted = self.making.limited(first, wanted)
-        if not wanted or self.ground.no_room.known(first) or self.ground.array_candidates is None:
+        wanted = self.preemptor.cap(first, wanted)
+        if not wanted or self.state.no_room.covers(first) or self.state.array_candidates is None:
             return jobs
         count = len(
             plan_placements(
                 first,
                 list(range(wanted)),
-                self.ground.array_candidates,
-                self.desk.random,
+                self.state.array_candidates,
+                self.context.random,
                 promised,
                 False,
-                self.ground.withheld,
+                self.state.withheld,
             )
         )
         for job in jobs[:count]:
--- a/sagecove/coordination/claims/pass_state.py
+++ b/sagecove/coordination/claims/pass_state.py
@@ -1,4 +1,4 @@
-"""The shard at hand in a pass: its room, what is withheld, what may be stopped there."""
+"""State of a scheduling pass for the shard it is working on: held room and preemptable tasks."""
 
 from __future__ import annotations
 
@@ -7,115 +7,124 @@
 from sagecove.coordination.interfaces import OwnerContext
 from sagecove.coordination.ledger import Ledger
 from sagecove.coordination.model import JobRun, Machine
-from sagecove.coordination.placement import (
-    NoRoomCache,
-    RoomByMachine,
+from sagecove.coordination.placement import NoRoomCache, RoomByMachine
+from sagecove.coordination.preemption_policy import (
+    PreemptionPolicy,
+    largest_victim_cpus,
+    may_preempt,
+    task_resources,
 )
-from sagecove.coordination.preemption_policy import PreemptionPolicy, largest_victim, may_stop, need
 
 
 class PassState:
-    """What a pass knows of the shard it looks at; noted anew for each."""
+    """What a pass knows about one shard. Most of it is reset for each shard of each pass."""
 
-    def __init__(self, desk: OwnerContext, ledger: Ledger, stopping: PreemptionPolicy) -> None:
-        self.desk = desk
+    def __init__(self, context: OwnerContext, ledger: Ledger, policy: PreemptionPolicy) -> None:
+        self.context = context
         self.ledger = ledger
-        self.stopping = stopping
-        self.poll_s = desk.settings.poll_s
-        # When room may be made again.
+        self.policy = policy
+        self.poll_s = context.settings.poll_s
+        # Earliest time of the next pass with preemption; whether the current pass has it.
         self.preempt_after = 0.0
-        self.making = False
+        self.preemption_due = False
+        # Prefer fuller machines, so that others run empty.
         self.packing = False
-        # Machines on which any array of the pass may find room at all; None: not known.
+        # Machines with room for the smallest array task of the pass; None: not computed.
         self.array_candidates: list[Machine] | None = None
+        # By machine: the gang that its room is withheld from arrays for.
         self.withheld: dict[str, JobRun] = {}
-        # Per team: CPUs and GPUs of jobs that wait to be claimed as a whole.
-        self.held_back: dict[str, list[float]] = {}
-        # Of these, of gangs that have waited for long.
-        self.held_long: dict[str, list[float]] = {}
-        # Jobs whose reserved room is kept from others of their standing in this pass.
-        self.kept: set[str] = set()
-        # CPUs for claims of this pass that have neither a place nor room under way: what could be
-        # made for others is less by these, or the same room is claimed twice.
-        self.pledged = 0.0
-        # Room for which shares of limits are asked in this pass: a controller that asked every team
-        # for the same room gathered all their limits, and the others had none.
-        self.asked: RoomByMachine = {}
+        # By team: CPUs and GPUs needed by jobs that wait to be claimed as a whole.
+        self.held_back_by_team: dict[str, list[float]] = {}
+        # The part of these needed by gangs that have waited for long.
+        self.held_back_long_by_team: dict[str, list[float]] = {}
+        # Ids of jobs whose reserved room is kept from other jobs of their precedence.
+        self.jobs_with_kept_room: set[str] = set()
+        # CPUs of claimed tasks that have neither a machine nor room being freed. Room that
+        # preemption could free for others is reduced by these; otherwise it is claimed twice.
+        self.unplaced_claim_cpus = 0.0
+        # Room that shares of team limits were requested for in this pass. A controller that
+        # requested them of every team for the same room gathered all their limits.
+        self.requested_room: RoomByMachine = {}
         self.no_room = NoRoomCache()
         self.no_room_by_preemption = NoRoomCache()
-        # Jobs that have tasks running in the shard at hand: what may be stopped at all.
-        self.running: list[JobRun] = []
-        self.sizes: list[float] = []
-        # The shard at hand.
-        self.around = ""
-        # By a job's rights: room by machine, and CPUs of tasks that are waited for instead.
-        self.yields: dict[tuple[object, ...], tuple[dict[str, list[float]], float]] = {}
+        # The smallest job with tasks in the shard by precedence (and team): what may be preempted.
+        self.smallest_running_jobs: list[JobRun] = []
+        self.running_task_cpus: list[float] = []
+        self.shard_name = ""
+        # By preemption rights: room by machine, and CPUs of tasks that end soon enough instead.
+        self.reclaimable_by_rights: dict[
+            tuple[object, ...], tuple[dict[str, list[float]], float]
+        ] = {}
 
     def scan_running_jobs(self, shard: str) -> None:
-        """Note the smallest job of each standing that is running on a shard's machines (of each
-        team, where teams matter): what there is to be stopped at all."""
-        seen: dict[tuple[object, ...], JobRun] = {}
-        sizes: set[float] = set()
+        """Finds the smallest job of each precedence that runs on a shard's machines, and of each
+        team where teams matter. Only these have to be compared to know if a job may preempt."""
+        smallest: dict[tuple[object, ...], JobRun] = {}
+        running_task_cpus: set[float] = set()
         for job in self.ledger.jobs_with_tasks(shard):
             key = (
                 job.priority,
                 job.within_guarantee,
                 "" if job.within_guarantee else job.spec.team,
             )
-            if key not in seen or job.spec.cpus < seen[key].spec.cpus:
-                seen[key] = job
-            sizes.add(job.spec.cpus)
-        self.running = list(seen.values())
-        self.sizes = sorted(sizes)
-        self.around = shard
-        self.yields.clear()
+            if key not in smallest or job.spec.cpus < smallest[key].spec.cpus:
+                smallest[key] = job
+            running_task_cpus.add(job.spec.cpus)
+        self.smallest_running_jobs = list(smallest.values())
+        self.running_task_cpus = sorted(running_task_cpus)
+        self.shard_name = shard
+        self.reclaimable_by_rights.clear()
 
-    def stoppable(self, job: JobRun) -> bool:
-        """There is anything that the job may displace."""
-        return any(may_stop(job, other) for other in self.running)
+    def can_preempt(self, job: JobRun) -> bool:
+        """Returns whether the shard runs any task that the job may preempt."""
+        return any(may_preempt(job, other) for other in self.smallest_running_jobs)
 
-    def coming(self, job: JobRun) -> int:
-        """Tasks of an array that find room as others end by themselves, soon enough for it."""
-        return int(self._room_of_others(job)[1] / max(job.spec.cpus, 0.1)) if job.array else 0
+    def ending_soon_count(self, job: JobRun) -> int:
+        """Counts the tasks of an array that get room from tasks that end by themselves in time."""
+        return int(self._reclaimable(job)[1] / max(job.spec.cpus, 0.1)) if job.array else 0
 
-    def yielding(self, job: JobRun) -> dict[str, list[float]]:
-        """Room on machines that is held by what is on its way out or may be stopped for a job."""
-        return self._room_of_others(job)[0]
+    def reclaimable_room(self, job: JobRun) -> dict[str, list[float]]:
+        """Returns room by machine held by tasks that are stopping or worth preempting for a job."""
+        return self._reclaimable(job)[0]
 
-    def _room_of_others(self, job: JobRun) -> tuple[dict[str, list[float]], float]:
-        """The room `yielding` tells, and the CPUs of tasks that end soon enough by themselves. Many
-        jobs have the same rights, so both are found once a pass for all of them."""
-        stopping = self.stopping
-        key = (*stopping.rank(job), bisect_right(self.sizes, largest_victim(job)))
-        known = self.yields.get(key)
+    def _reclaimable(self, job: JobRun) -> tuple[dict[str, list[float]], float]:
+        """Returns `reclaimable_room` and the CPUs of tasks that end soon enough by themselves.
+        Many jobs have the same rights, so both are cached by rights for the pass."""
+        policy = self.policy
+        key = (
+            *policy.rights_key(job),
+            bisect_right(self.running_task_cpus, largest_victim_cpus(job)),
+        )
+        known = self.reclaimable_by_rights.get(key)
         if known is not None:
             return known
-        patience = stopping.patience(job)
-        going = self.ledger.stopping_placements(self.around)
-        ending = 0.0
-        for other in self.ledger.jobs_with_tasks(self.around):
-            if not may_stop(job, other):
+        patience = policy.patience(job)
+        reclaimable = self.ledger.stopping_placements(self.shard_name)
+        ending_cpus = 0.0
+        for other in self.ledger.jobs_with_tasks(self.shard_name):
+            if not may_preempt(job, other):
                 continue
-            here = [
-                p
-                for p in other.placed.values()
-                if p.stop_grace_s is None and p.machine.record.shard == self.around
+            placements = [
+                placement
+                for placement in other.placed.values()
+                if placement.stop_grace_s is None
+                and placement.machine.record.shard == self.shard_name
             ]
-            worth, soon = stopping.sort(patience, other, here)
-            going += worth
-            ending += soon * other.spec.cpus
+            worth, ending_count = policy.split_by_remaining_run(patience, other, placements)
+            reclaimable += worth
+            ending_cpus += ending_count * other.spec.cpus
         found: dict[str, list[float]] = {}
-        for p in going:
-            if p.job is not None:
-                room = found.setdefault(p.machine.name, [0.0, 0.0, 0.0])
-                for n, amount in enumerate(need(p.job)):
+        for placement in reclaimable:
+            if placement.job is not None:
+                room = found.setdefault(placement.machine.name, [0.0, 0.0, 0.0])
+                for n, amount in enumerate(task_resources(placement.job)):
                     room[n] += amount
-        self.yields[key] = found, ending
-        return found, ending
+        self.reclaimable_by_rights[key] = found, ending_cpus
+        return found, ending_cpus
 
-    def candidates(self, job: JobRun, machines: list[Machine]) -> list[Machine]:
-        """Machines with room, and those on which tasks may be stopped for a job, by name."""
-        names = {m.name for m in machines} | self.yielding(job).keys()
+    def candidate_machines(self, job: JobRun, machines: list[Machine]) -> list[Machine]:
+        """Returns the given machines and those with reclaimable room for a job, sorted by name."""
+        names = {m.name for m in machines} | self.reclaimable_room(job).keys()
         if job.array:
-            names = {n for n in names if self.desk.now >= self.desk.machines[n].drain_until}
-        return [self.desk.machines[name] for name in sorted(names)]
+            names = {n for n in names if self.context.now >= self.context.machines[n].drain_until}
+        return [self.context.machines[name] for name in sorted(names)]
--- a/sagecove/coordination/claims/releaser.py
+++ b/sagecove/coordination/claims/releaser.py
@@ -1,4 +1,4 @@
-"""Claims that found no place are given back."""
+"""Releases claims on tasks that could not be placed."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 class UnconfirmedRelease(NamedTuple):
-    """A release whose outcome is not known: tasks (`bits`), the job's claims without them, the
-    record it was written on, and if it is to be sent once more."""
+    """A release with an unknown outcome: its tasks (`bits`), the job's claims without them, the
+    version of the record (`stamp`) it was based on, and whether it has to be sent again."""
 
     job: JobRun
     shard: Shard
     claims: dict[str, int]
     bits: int
     stamp: int
-    again: bool
+    resend: bool
 
 
 class Releaser:
-    """Gives claims back."""
+    """Releases claims and resolves releases with an unknown outcome."""
 
-    def __init__(self, desk: OwnerContext, ground: PassState, sync: MirrorSync) -> None:
-        self.desk = desk
+    def __init__(self, context: OwnerContext, state: PassState, sync: MirrorSync) -> None:
+        self.context = context
         self.sync = sync
-        self.ground = ground
+        self.state = state
         self.unconfirmed: list[UnconfirmedRelease] = []
 
     def release(self, now: float, job: JobRun, shard: Shard) -> None:
-        """Give back claims that found no place within a poll (a whole job's only all together)."""
+        """Releases a job's unplaced claims; those of a job claimed as a whole only all at once."""
         if job.committing:
             return
         name = shard.name
@@ -45,33 +45,33 @@
             return
         claims = dict(job.claims)
         claims[name] = claims.get(name, 0) & ~bits
-        # What is being released must not be placed: the record is conditional, the room is not.
+        # Tasks under release must not be placed: the write is conditional, a placement is not.
         job.hold_until = now + 0.5
         job.unplaceable_since.pop(name, None)
-        job.claim_after = now + self.desk.random.uniform(0.5, 1.5) * self.ground.poll_s
+        job.claim_after = now + self.context.random.uniform(0.5, 1.5) * self.state.poll_s
         job.releasing |= bits
         if job.durable_state is not None:
             job.durable_state.write_release(job, shard, bits)
             return
         self.write_release(job, shard, claims, bits)
 
-    def repeat(self) -> None:
-        """Settle what is in doubt: by a newer record of the job, by the end of the term, or by
-        writing it once more."""
-        doubts, self.unconfirmed = self.unconfirmed, []
-        for doubt in doubts:
-            job, shard, claims, bits, stamp, again = doubt
-            if self.desk.jobs.get(job.id) is not job:
+    def resolve_unconfirmed(self) -> None:
+        """Resolves unconfirmed releases by a newer record of the job, the end of the shard's term,
+        or another write."""
+        unresolved, self.unconfirmed = self.unconfirmed, []
+        for entry in unresolved:
+            job, shard, claims, bits, stamp, resend = entry
+            if self.context.jobs.get(job.id) is not job:
                 continue
-            if job.stamp != stamp or self.desk.held_shards.get(shard.name) is not shard:
-                # Its record, or its term, is over, so that it can't be executed any more: were the
-                # tasks kept back for it, nobody would ever place them.
+            if job.stamp != stamp or self.context.held_shards.get(shard.name) is not shard:
+                # The write can't be executed any more, as its record or term has changed. Tasks
+                # still marked as under release would never be placed by anyone.
                 job.releasing &= ~bits
-                self.desk.pass_needed = True
-            elif again:
-                self.write_release(job, shard, claims, bits, doubtful=True)
+                self.context.pass_needed = True
+            elif resend:
+                self.write_release(job, shard, claims, bits, earlier_unanswered=True)
             else:
-                self.unconfirmed.append(doubt)
+                self.unconfirmed.append(entry)
 
     def write_release(
         self,
@@ -79,22 +79,24 @@
         shard: Shard,
         claims: dict[str, int],
         bits: int,
-        doubtful: bool = False,
+        earlier_unanswered: bool = False,
     ) -> None:
-        """`doubtful`: an earlier copy got no answer, and may be executed at any time."""
+        """Writes a release. `earlier_unanswered`: an earlier copy may still be executed."""
         stamp = job.stamp
         job.committing = True
 
         def done(result: Result) -> None:
             job.committing = False
-            self.desk.pass_needed = True
+            self.context.pass_needed = True
             self.sync.request_sync()
             conflict = result.outcome is Outcome.CONFLICT
-            unsure = doubtful or result.outcome is Outcome.UNKNOWN
-            if job.stamp == stamp and (conflict or (unsure and result.outcome is not Outcome.DONE)):
-                # Nothing is placed until it is settled. A conflict says that the record is another,
-                # maybe by an earlier copy: until that is read here, the claims are not what they
-                # seem. And that a repetition was refused says nothing of the first.
+            uncertain = earlier_unanswered or result.outcome is Outcome.UNKNOWN
+            if job.stamp == stamp and (
+                conflict or (uncertain and result.outcome is not Outcome.DONE)
+            ):
+                # Don't place the tasks until the outcome is known. A conflict means that the record
+                # has changed, maybe by an earlier copy, so the claims known here are out of date
+                # until it is read. A refused repetition says nothing about the first copy.
                 self.unconfirmed.append(
                     UnconfirmedRelease(job, shard, claims, bits, stamp, not conflict)
                 )
@@ -103,4 +105,4 @@
 
         conditions = [(JOB + job.id, stamp), (HOLDER + shard.name, shard.term)]
         put = wire.Put(JOB + job.id, job.with_sets(job.finished, claims))
-        self.desk.commit(conditions, [put], done)
+        self.context.commit(conditions, [put], done)
--- a/sagecove/coordination/claims/scheduling_pass.py
+++ b/sagecove/coordination/claims/scheduling_pass.py
@@ -1,7 +1,7 @@
-"""A pass: what may have changed is looked at once, in the order of claims.
+"""The scheduling pass: claims, places and preempts for all jobs that may need it, in precedence.
 
-Everything here is derived afresh from the mirror and the machines on each pass, so a lost race or
-a lost answer needs no special care: the next pass starts from what is then known.
+Each pass computes everything anew from the mirror and the machines, so a lost race or a lost answer
+needs no special handling: the next pass starts from the state known then.
 """
 
 from __future__ import annotations
@@ -36,60 +36,58 @@
     fixed_precedence,
     precedence,
 )
-from sagecove.coordination.placement import (
-    NoRoomCache,
-    RoomByMachine,
-    promise_reserved,
-)
+from sagecove.coordination.placement import NoRoomCache, RoomByMachine, promise_reserved
 from sagecove.coordination.preemption_policy import PreemptionPolicy
 
 
 class SchedulingPass:
-    """Claims and placement for the shards held here."""
+    """Runs scheduling passes over the shards that this controller holds."""
 
     def __init__(
         self,
-        desk: OwnerContext,
+        context: OwnerContext,
         ledger: Ledger,
         limits: TeamLimits,
         backlog: Backlog,
-        learning: Estimates,
+        estimates: Estimates,
         failures: FailureJudge,
-        stopping: PreemptionPolicy,
+        policy: PreemptionPolicy,
         workers: MachineCommands,
         shards: ShardQueries,
         sync: MirrorSync,
         peers: DrainHints,
         images: Images,
     ) -> None:
-        self.desk = desk
+        self.context = context
         self.ledger = ledger
         self.limits = limits
         self.backlog = backlog
-        self.learning = learning
+        self.estimates = estimates
         self.failures = failures
         self.shards = shards
         self.peers = peers
-        self.poll_s = desk.settings.poll_s
-        self.pass_state = PassState(desk, ledger, stopping)
-        self.preemptor = Preemptor(desk, self.pass_state, ledger, limits, stopping, workers, shards)
-        self.releaser = Releaser(desk, self.pass_state, sync)
+        self.poll_s = context.settings.poll_s
+        self.pass_state = PassState(context, ledger, policy)
+        self.preemptor = Preemptor(
+            context, self.pass_state, ledger, limits, policy, workers, shards
+        )
+        self.releaser = Releaser(context, self.pass_state, sync)
         self.claimer = Claimer(
             *(
-                desk,
+                context,
                 self.pass_state,
                 self.preemptor,
                 ledger,
                 limits,
                 backlog,
-                learning,
+                estimates,
                 shards,
                 sync,
             ),
             images,
         )
         self.placer = Placer(
-            desk,
+            context,
             self.pass_state,
             self.preemptor,
             self.releaser,
@@ -99,89 +97,99 @@
             workers,
             images,
         )
-        self.results = Results(desk, backlog, workers, sync)
-        # Jobs that the last pass had to look at.
+        self.results = Results(context, backlog, workers, sync)
+        # Number of jobs that the last pass had to look at, resting ones included.
         self.open_job_count = 0
 
     def run(self, now: float) -> None:
-        """One pass."""
-        shards = [self.desk.held_shards[s] for s in self.shards.active_shards(now)]
+        """Runs one pass over all shards for which this controller may act."""
+        shards = [self.context.held_shards[s] for s in self.shards.active_shards(now)]
         if not shards:
             return
-        self.releaser.repeat()
-        self.results.record(now, shards)
-        self.results.gangs(now)
-        ordered = self._open(shards)
-        if not ordered and not self.backlog.groups:
+        self.releaser.resolve_unconfirmed()
+        self.results.write_finished(now, shards)
+        self.results.stop_incomplete_gangs(now)
+        dirty_jobs = self._collect_dirty_jobs(shards)
+        if not dirty_jobs and not self.backlog.groups:
             return
-        # Looking for tasks to stop is the costly part: not on every pass.
-        self.pass_state.making = now >= self.pass_state.preempt_after
-        if self.pass_state.making:
+        # Searching for tasks to preempt is the costly part, so not every pass does it.
+        self.pass_state.preemption_due = now >= self.pass_state.preempt_after
+        if self.pass_state.preemption_due:
             self.pass_state.preempt_after = now + self.pass_state.poll_s / 4
         for shard in shards:
-            self.preemptor.keep_limit(shard.name)
+            self.preemptor.enforce_limits(shard.name)
             promised: RoomByMachine = {}
-            # What is full has room for nobody; what may be stopped there is found by its tasks.
-            every = self.ledger.machines_with_room(shard.name)
-            # Machines to be returned take no more tasks of arrays.
-            steady = [m for m in every if now >= m.drain_until]
+            # Full machines are left out; preemption finds them by their tasks.
+            machines_with_room = self.ledger.machines_with_room(shard.name)
+            # Machines that are to be returned take no more array tasks.
+            array_machines = [m for m in machines_with_room if now >= m.drain_until]
             self.pass_state.no_room = NoRoomCache()
             self.pass_state.no_room_by_preemption = NoRoomCache()
-            if self.pass_state.making:
+            if self.pass_state.preemption_due:
                 self.pass_state.scan_running_jobs(shard.name)
-            self.pass_state.withheld = self.preemptor.withhold(now, shard, every, ordered)
-            # DESIGN: fuller machines are preferred while some await their return.
+            self.pass_state.withheld = self.preemptor.withhold_machines(
+                now, shard, machines_with_room, dirty_jobs
+            )
+            # DESIGN: prefer fuller machines while some wait to be returned.
             draining = now < self.peers.draining_until.get(shard.name, -1e9)
-            self.pass_state.packing = draining or any(not m.tasks for m in every)
-            # One order for what is claimed and what is not: else the room for a claim that is
-            # under way would go to whoever comes after it.
-            self.pass_state.held_back = {}
-            self.pass_state.held_long = {}
-            self.pass_state.pledged = 0.0
-            self.pass_state.asked = {}
-            there = bool(self.desk.machines_by_shard.get(shard.name))
-            rested = self._rested(now, shard, every) if there and self.backlog.groups else []
-            self.pass_state.array_candidates = roomy(steady, ordered + rested)
-            jobs = sorted(ordered + rested, key=precedence) if rested else ordered
-            if there and any(job.durable_state is not None for job in jobs):
-                jobs = self._alike(now, shard, jobs, promised)
-            self.pass_state.kept.clear()
-            self.claimer.note_crowd(jobs)
+            self.pass_state.packing = draining or any(not m.tasks for m in machines_with_room)
+            # Claimed and unclaimed jobs are handled in one order; otherwise the room for an open
+            # claim would go to a job that comes after it.
+            self.pass_state.held_back_by_team = {}
+            self.pass_state.held_back_long_by_team = {}
+            self.pass_state.unplaced_claim_cpus = 0.0
+            self.pass_state.requested_room = {}
+            has_machines = bool(self.context.machines_by_shard.get(shard.name))
+            resting_jobs = (
+                self._collect_resting_jobs(now, shard, machines_with_room)
+                if has_machines and self.backlog.groups
+                else []
+            )
+            self.pass_state.array_candidates = machines_for_arrays(
+                array_machines, dirty_jobs + resting_jobs
+            )
+            jobs = sorted(dirty_jobs + resting_jobs, key=precedence) if resting_jobs else dirty_jobs
+            if has_machines and any(job.durable_state is not None for job in jobs):
+                jobs = self._handle_similar_jobs(now, shard, jobs, promised)
+            self.pass_state.jobs_with_kept_room.clear()
+            self.claimer.count_unclaimed_jobs(jobs)
             reserved = [job for job in jobs if job.reserved]
-            order: object = None
+            current_precedence: object = None
             for job in jobs:
-                if reserved and fixed_precedence(job) != order:
-                    order = fixed_precedence(job)
-                    self._keep(reserved, order, promised)
-                machines = steady if job.array else every
+                if reserved and fixed_precedence(job) != current_precedence:
+                    current_precedence = fixed_precedence(job)
+                    self._keep_reserved_room(reserved, current_precedence, promised)
+                machines = array_machines if job.array else machines_with_room
                 self.placer.place(now, shard, machines, job, promised)
-                if there:
-                    self.claimer.compete(now, shard, machines, job, promised)
+                if has_machines:
+                    self.claimer.try_claim(now, shard, machines, job, promised)
                 if not job.array and job.unclaimed and job.claiming is None:
-                    self.preemptor.hold_back(now, shard, job)
+                    self.preemptor.hold_back_for(now, shard, job)
 
-    def _keep(self, jobs: list[JobRun], order: object, promised: RoomByMachine) -> None:
-        """Room that was made for one job is not there for another of its standing: ten teams that
-        claimed their guarantees at once took it from one another, and the last waited until what
-        was reserved for it had lapsed."""
+    def _keep_reserved_room(
+        self, jobs: list[JobRun], current_precedence: object, promised: RoomByMachine
+    ) -> None:
+        """Keeps room that was freed for one job from other jobs of its precedence. Ten teams that
+        claimed their guarantees at once took it from one another, and the last waited until its
+        reservation had expired."""
         for job in jobs:
-            if fixed_precedence(job) == order:
+            if fixed_precedence(job) == current_precedence:
                 promise_reserved(promised, job)
-                self.pass_state.kept.add(job.id)
+                self.pass_state.jobs_with_kept_room.add(job.id)
 
-    def _open(self, shards: list[Shard]) -> list[JobRun]:
-        """The active jobs that a pass may have to do something for, in order. Most jobs are
-        through with placing, and at thousands of tasks looking at each of them is what a pass
-        would cost."""
+    def _collect_dirty_jobs(self, shards: list[Shard]) -> list[JobRun]:
+        """Returns the active jobs that the pass may have to do something for, in precedence. Jobs
+        with nothing to do stop being dirty: most are fully placed, and with thousands of tasks
+        looking at each of them would be most of a pass."""
         names = [shard.name for shard in shards]
         found = []
         for job in list(self.backlog.dirty_jobs.values()):
-            if self.backlog.through(job, names):
+            if self.backlog.nothing_to_do(job, names):
                 del self.backlog.dirty_jobs[job.id]
                 job.lacks_room_since = None
                 continue
             if self.failures.fails_everywhere(job) and not self._may_probe(job):
-                # Fails wherever it runs: until its next try it costs nobody anything.
+                # Skip a job that fails everywhere until its next probe.
                 continue
             if not (
                 len(job.placed) == job.spec.tasks and not job.reserved and not job.unplaceable_since
@@ -192,9 +200,9 @@
                 or any(job.placeable(name) for name in names)
             ):
                 if job.array:
-                    self.learning.update_rank(job)
+                    self.estimates.update_rank(job)
                 elif job.service:
-                    self.learning.update_avoided_types(job)
+                    self.estimates.update_avoided_types(job)
                 found.append(job)
             else:
                 job.lacks_room_since = None
@@ -202,53 +210,57 @@
         found.sort(key=precedence)
         return found
 
-    def _rested(self, now: float, shard: Shard, machines: list[Machine]) -> list[JobRun]:
-        """Resting jobs that a shard may be able to claim tasks of: the first of each group for one
-        of which there may be room. Room only shrinks in a pass, so what has none now has none."""
-        most = [0.0, 0.0, 0.0]
+    def _collect_resting_jobs(
+        self, now: float, shard: Shard, machines: list[Machine]
+    ) -> list[JobRun]:
+        """Returns resting jobs that a shard may be able to claim: the first of each group whose
+        jobs may have room. Room only shrinks in a pass, so a group without room stays without."""
+        max_free = [0.0, 0.0, 0.0]
         for machine in machines:
             for n, amount in enumerate(machine.free_room()):
-                most[n] = max(most[n], amount)
+                max_free[n] = max(max_free[n], amount)
         out: list[JobRun] = []
         for group in self.backlog.groups.values():
             job = group.any_job()
             spec = job.spec
             fits = (
-                spec.cpus <= most[0] + ROOM_EPSILON
-                and spec.gpus <= most[1] + ROOM_EPSILON
-                and spec.memory_gb <= most[2] + ROOM_EPSILON
+                spec.cpus <= max_free[0] + ROOM_EPSILON
+                and spec.gpus <= max_free[1] + ROOM_EPSILON
+                and spec.memory_gb <= max_free[2] + ROOM_EPSILON
             )
-            if not fits and not (self.pass_state.making and self.pass_state.stoppable(job)):
+            if not fits and not (
+                self.pass_state.preemption_due and self.pass_state.can_preempt(job)
+            ):
                 continue
             if self.limits.claimable(shard.name, spec, 1):
-                out += self.backlog.first(group, now)
-            elif self.pass_state.making and self.limits.claimable_anywhere(spec, 1):
-                # A share of the limit may be all that the first of them lacks.
-                out += self.backlog.first(group, now, 1)
+                out += self.backlog.first_claimable(group, now)
+            elif self.pass_state.preemption_due and self.limits.claimable_anywhere(spec, 1):
+                # The first job may lack only a share of the team's limit.
+                out += self.backlog.first_claimable(group, now, 1)
         return out
 
     def _may_probe(self, job: JobRun) -> bool:
-        """It is time for a job that fails everywhere to be tried once more. Others leave that to
-        the controller that has seen it fail."""
-        return job.judged_faulty and self.desk.now >= job.hold_until and not job.placed
+        """Returns whether a job that fails everywhere is due for another try. Only the controller
+        that has judged it faulty probes it."""
+        return job.judged_faulty and self.context.now >= job.hold_until and not job.placed
 
-    def _alike(
+    def _handle_similar_jobs(
         self, now: float, shard: Shard, jobs: list[JobRun], promised: RoomByMachine
     ) -> list[JobRun]:
-        """Jobs without records of their own come in hundreds that are alike: those that follow one
-        another in the order are planned for together. The jobs that are left to be looked at one
-        by one, in order."""
-        left: list[JobRun] = []
-        for key, run in groupby(jobs, key=self._like(shard.name)):
+        """Claims or places runs of similar jobs together, and returns the jobs that are left to be
+        looked at one by one, in order. Jobs without records of their own come in hundreds that
+        are similar."""
+        remaining: list[JobRun] = []
+        for key, run in groupby(jobs, key=self._similarity_key(shard.name)):
             members = list(run)
             if key is not None and len(members) > 1:
-                begin = self.placer.place_alike if key[0] else self.claimer.claim_alike
-                members = begin(now, shard, members, promised)
-            left += members
-        return left
+                handle_similar = self.placer.place_similar if key[0] else self.claimer.claim_similar
+                members = handle_similar(now, shard, members, promised)
+            remaining += members
+        return remaining
 
-    def _like(self, shard: str) -> Callable[[JobRun], tuple[object, ...] | None]:
-        """What jobs have in common that can be planned for together; None for those that can't."""
+    def _similarity_key(self, shard: str) -> Callable[[JobRun], tuple[object, ...] | None]:
+        """Returns a key function: jobs of equal key are planned together, those of None are not."""
 
         def key(job: JobRun) -> tuple[object, ...] | None:
             spec = job.spec
@@ -274,9 +286,9 @@
         return key
 
 
-def roomy(machines: list[Machine], jobs: list[JobRun]) -> list[Machine]:
-    """Machines with room for the smallest task of the arrays among jobs: in a pass room only
-    shrinks, and when work is plenty most machines have none."""
+def machines_for_arrays(machines: list[Machine], jobs: list[JobRun]) -> list[Machine]:
+    """Returns machines with room for the smallest task of the arrays among the jobs. Room only
+    shrinks in a pass, and when there is much work most machines have none."""
     arrays = [job.spec for job in jobs if job.array]
     if not arrays:
         return machines
--- a/sagecove/coordination/placement.py
+++ b/sagecove/coordination/placement.py
@@ -1,6 +1,7 @@
-"""Which machine a task goes to: random among the fitting ones of the best group.
+"""Chooses machines for tasks: at random among the fitting machines of the best rank.
 
-Pure functions over machines; callers pass room already promised to others as `promised`.
+These are pure functions over machines; callers pass the room already planned for others as
+`promised`.
 """
 
 from collections.abc import Iterable
@@ -12,21 +13,22 @@
 from sagecove.protocol.cloud import MachineType
 from sagecove.protocol.users import Job
 
+# By machine name: CPUs, GPUs and memory (GB).
 RoomByMachine = dict[str, list[float]]
 
 
-def type_allowed(spec: Job, kind: MachineType) -> bool:
-    """A task fits an empty machine of this type, and the job allows the type."""
+def type_allowed(spec: Job, machine_type: MachineType) -> bool:
+    """Returns whether a job allows a machine type and its tasks fit an empty machine of it."""
     return (
-        (spec.types is None or kind.name in spec.types)
-        and spec.cpus <= kind.cpus + ROOM_EPSILON
-        and spec.gpus <= kind.gpus + ROOM_EPSILON
-        and spec.memory_gb <= kind.memory_gb + ROOM_EPSILON
+        (spec.types is None or machine_type.name in spec.types)
+        and spec.cpus <= machine_type.cpus + ROOM_EPSILON
+        and spec.gpus <= machine_type.gpus + ROOM_EPSILON
+        and spec.memory_gb <= machine_type.memory_gb + ROOM_EPSILON
     )
 
 
 def machine_allowed(spec: Job, machine: Machine) -> bool:
-    """The job allows this machine at all."""
+    """Returns whether a job allows a machine by type, zone and spot."""
     record = machine.record
     return (
         machine.machine_type is not None
@@ -36,33 +38,35 @@
     )
 
 
-def fills_most_of_machine(spec: Job, kind: MachineType) -> bool:
-    """A task takes most of such a machine, so that hardly ever one in use has room for it."""
-    return 2 * spec.cpus > kind.cpus or 2 * spec.gpus > kind.gpus > 0
+def fills_most_of_machine(spec: Job, machine_type: MachineType) -> bool:
+    """Returns whether a task takes most of such a machine, so that one in use rarely has room."""
+    return 2 * spec.cpus > machine_type.cpus or 2 * spec.gpus > machine_type.gpus > 0
 
 
 def machine_suits(job: JobRun, machine: Machine) -> bool:
-    """The job allows this machine, and should be there."""
-    kind = machine.machine_type
+    """Returns whether a job allows a machine and does not avoid its type."""
+    machine_type = machine.machine_type
     return machine_allowed(job.spec, machine) and not (
-        job.avoided_types and kind is not None and kind.name in job.avoided_types
+        job.avoided_types and machine_type is not None and machine_type.name in job.avoided_types
     )
 
 
-def hourly_price(kind: MachineType, spot: bool) -> float:
-    """Price of a machine by the hour."""
-    return kind.spot_price if spot and kind.spot_price else kind.price
+def hourly_price(machine_type: MachineType, spot: bool) -> float:
+    """Returns the price of a machine for one hour."""
+    return machine_type.spot_price if spot and machine_type.spot_price else machine_type.price
 
 
-def price_class(kind: MachineType, spot: bool, base: float) -> int:
-    """Class of a machine's price by the CPU: 0 up to `base`, the cheapest type's ordinary price,
-    then a class for each factor of about 3.5 (what divides spot from ordinary machines)."""
-    times = hourly_price(kind, spot) / max(kind.cpus, 0.1) / base if base > 0 else 1.0
-    return 0 if times <= 1 else 1 + int(log(times, 3.5))
+def price_class(machine_type: MachineType, spot: bool, base: float) -> int:
+    """Returns the class of a machine's price per CPU: 0 up to `base`, the lowest on-demand price,
+    then one class for each factor of 3.5 (about the ratio of on-demand to spot prices)."""
+    ratio = (
+        hourly_price(machine_type, spot) / max(machine_type.cpus, 0.1) / base if base > 0 else 1.0
+    )
+    return 0 if ratio <= 1 else 1 + int(log(ratio, 3.5))
 
 
 def tasks_fitting(spec: Job, room: tuple[float, float, float]) -> int:
-    """How many tasks fit a room."""
+    """Counts the tasks that fit an amount of free room."""
     cpus, gpus, memory = room
     if (
         cpus + ROOM_EPSILON < spec.cpus
@@ -81,8 +85,8 @@
 
 
 class NoRoomCache:
-    """Needs that found no room in this pass: whoever needs as much, with the same constraints,
-    need not look again. Under a backlog nearly every job is one of these."""
+    """Resource needs that found no room in this pass. A job that needs at least as much under the
+    same constraints is not searched room for again; under a backlog that is nearly every job."""
 
     def __init__(self) -> None:
         self._needs: dict[tuple[object, ...], list[tuple[float, float, float]]] = {}
@@ -93,8 +97,8 @@
         types = tuple(spec.types) if spec.types else None
         return (types, spec.zone, spec.spot, job.array, job.avoided_types)
 
-    def known(self, job: JobRun, rank: object = None) -> bool:
-        """Looking is known to be futile for a job (of this rank, where rank matters)."""
+    def covers(self, job: JobRun, rank: object = None) -> bool:
+        """Returns whether a job (with these preemption rights, if any) is known to find no room."""
         spec = job.spec
         for cpus, gpus, memory in self._needs.get((*self._key(job), rank), ()):
             if spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory:
@@ -102,7 +106,7 @@
         return False
 
     def add(self, job: JobRun, rank: object = None) -> None:
-        """One task of the job found no room."""
+        """Remembers that one task of a job found no room."""
         spec = job.spec
         if spec.one_zone or spec.spread:
             return
@@ -111,22 +115,22 @@
 
 
 def unpromised_room(machine: Machine, promised: RoomByMachine | None) -> tuple[float, float, float]:
-    """Free room less what is promised."""
+    """Returns a machine's free room less what is promised to others."""
     cpus, gpus, memory = machine.free_room()
     if promised and (held := promised.get(machine.name)):
         return cpus - held[0], gpus - held[1], memory - held[2]
     return cpus, gpus, memory
 
 
-def room_for(
+def count_fitting_tasks(
     job: JobRun,
     machines: Iterable[Machine],
     promised: RoomByMachine,
-    asked: RoomByMachine,
+    requested: RoomByMachine,
     most: int,
 ) -> int:
-    """How many tasks of a job find room on machines, counted up to `most`, beside what is promised
-    and what was counted for others before: it is added to `asked`."""
+    """Counts tasks of a job, up to `most`, that fit machines beside what is promised and what was
+    counted for others before in `requested`, and adds them to that."""
     found = 0
     spec = job.spec
     for machine in machines:
@@ -135,16 +139,16 @@
         if not machine_suits(job, machine):
             continue
         room = unpromised_room(machine, promised)
-        if taken := asked.get(machine.name):
+        if taken := requested.get(machine.name):
             room = room[0] - taken[0], room[1] - taken[1], room[2] - taken[2]
         if count := min(tasks_fitting(spec, room), most - found):
-            add_promised(asked, machine.name, spec, count)
+            add_promised(requested, machine.name, spec, count)
             found += count
     return found
 
 
 def add_promised(promised: RoomByMachine, name: str, spec: Job, count: int = 1) -> None:
-    """Count planned tasks on a machine in (or, with a negative count, out)."""
+    """Adds the needs of planned tasks to a machine's promised room (negative: removes them)."""
     held = promised.setdefault(name, [0.0, 0.0, 0.0])
     held[0] += spec.cpus * count
     held[1] += spec.gpus * count
@@ -152,30 +156,32 @@
 
 
 def promise_reserved(promised: RoomByMachine, job: JobRun, sign: int = 1) -> None:
-    """What others were stopped for stays kept for the job they were stopped for (or, with -1, is
-    there for it)."""
+    """Promises room freed by preemption to the job it was freed for (with `sign` -1: makes it
+    available to that job)."""
     for name, count in job.reserved.items():
         add_promised(promised, name, job.spec, sign * count)
 
 
-def rank(job: JobRun, machine: Machine) -> tuple[int, int, int]:
-    """Groups of machines, best first: without GPUs the task has no use for, of the cheaper kind
-    where the job may use it, with its image. Arrays fill the dear ones last, whatever images are
-    there: those are to run empty and be returned as soon as there is less to do."""
+def machine_rank(job: JobRun, machine: Machine) -> tuple[int, int, int]:
+    """Ranks a machine for a job, lowest first: by unused GPUs (for arrays by price class), by how
+    soon it has the image, then by spot or on-demand as the job asks. Arrays fill expensive machines
+    last, whatever images they have, so that those run empty and are returned when load falls."""
     spec = job.spec
-    kind = machine.machine_type
-    assert kind is not None
-    waste = machine.price_class if job.array else 1 if kind.gpus > 0 and spec.gpus == 0 else 0
+    machine_type = machine.machine_type
+    assert machine_type is not None
+    misfit = (
+        machine.price_class if job.array else 1 if machine_type.gpus > 0 and spec.gpus == 0 else 0
+    )
     if machine.name in job.failed_on:
-        # A second opinion tells a faulty machine from a faulty job.
-        waste += 99
+        # A try on another machine tells a faulty machine from a faulty job.
+        misfit += 99
     wrong_kind = 0 if machine.record.spot == spec.spot else 1
-    return waste, _warmth(spec, machine), wrong_kind
+    return misfit, _image_delay_rank(spec, machine), wrong_kind
 
 
-def _warmth(spec: Job, machine: Machine) -> int:
-    """Groups of machines by how soon they have an image: there; on its way; to be fetched; to be
-    fetched beside another, which shares the rate."""
+def _image_delay_rank(spec: Job, machine: Machine) -> int:
+    """Ranks a machine by how soon it has an image: present; being fetched; to be fetched; to be
+    fetched while another fetch shares the rate."""
     if spec.image in machine.images:
         return 0
     if spec.image in machine.fetching:
@@ -184,7 +190,7 @@
 
 
 def tasks_by_zone(job: JobRun) -> dict[str, int]:
-    """Where the job's tasks are, those on their way out included."""
+    """Counts a job's tasks by zone, including those that are stopping."""
     counts: dict[str, int] = {}
     for placement in job.placed.values():
         if placement.takes_room:
@@ -193,16 +199,16 @@
     return counts
 
 
-def _beside(
+def _room_beside_large_task(
     machine: Machine, large: Job, room: tuple[float, float, float]
 ) -> tuple[float, float, float]:
-    """What arrays may still take of a machine beside a large task that waits for it."""
-    kind = machine.machine_type
-    assert kind is not None
+    """Returns room that arrays may use on a machine withheld for a large task."""
+    machine_type = machine.machine_type
+    assert machine_type is not None
     cpus, gpus, memory = (
-        kind.cpus - large.cpus,
-        kind.gpus - large.gpus,
-        kind.memory_gb - large.memory_gb,
+        machine_type.cpus - large.cpus,
+        machine_type.gpus - large.gpus,
+        machine_type.memory_gb - large.memory_gb,
     )
     for placement in machine.tasks.values():
         if placement.takes_room and placement.job is not None and placement.job.array:
@@ -221,75 +227,82 @@
     packing: bool = False,
     withheld: dict[str, JobRun] | None = None,
 ) -> list[tuple[int, Machine]]:
-    """Machines for as many of the tasks as fit (for a gang: all or none).
+    """Returns pairs of task index and machine for as many tasks as fit (for a gang: all or none).
 
-    What is planned is added to `promised`.
+    Adds the planned tasks to `promised`.
     """
     spec = job.spec
-    open_machines: list[tuple[Machine, int]] = []
+    usable: list[tuple[Machine, int]] = []
     for machine in machines:
         room = unpromised_room(machine, promised)
         if withheld and job.array and machine.name in withheld:
-            room = _beside(machine, withheld[machine.name].spec, room)
+            room = _room_beside_large_task(machine, withheld[machine.name].spec, room)
         count = tasks_fitting(spec, room)
         if count > 0 and machine.accepts_tasks and machine_suits(job, machine):
-            open_machines.append((machine, count))
-    if not open_machines:
+            usable.append((machine, count))
+    if not usable:
         return []
-    # Of arrays that may be anywhere nobody asks where they are, and there are hundreds of tasks.
+    # Arrays without zone rules need no count, and counting hundreds of tasks takes time.
     counts = {} if job.array and not spec.spread and not spec.one_zone else tasks_by_zone(job)
     if spec.one_zone:
         if counts:
             zones = [next(iter(counts))]
         else:
             per_zone: dict[str, int] = {}
-            for machine, count in open_machines:
+            for machine, count in usable:
                 zone = machine.record.zone
                 per_zone[zone] = per_zone.get(zone, 0) + count
             most = max(per_zone.values())
             zones = [z for z, c in per_zone.items() if c >= min(most, len(indexes))]
-            # A zone in which few images are to be fetched.
-            warm = dict.fromkeys(zones, 0)
-            for machine, count in open_machines:
-                if machine.record.zone in warm and spec.image in machine.images:
-                    warm[machine.record.zone] += count
-            most = min(max(warm.values()), len(indexes))
-            zones = [random.choice(sorted(z for z in zones if warm[z] >= most))]
-        open_machines = [(m, c) for m, c in open_machines if m.record.zone in zones]
-    if job.gang and sum(c for _, c in open_machines) < len(indexes):
+            # Prefer a zone in which few images have to be fetched.
+            tasks_beside_image = dict.fromkeys(zones, 0)
+            for machine, count in usable:
+                if machine.record.zone in tasks_beside_image and spec.image in machine.images:
+                    tasks_beside_image[machine.record.zone] += count
+            most = min(max(tasks_beside_image.values()), len(indexes))
+            zones = [random.choice(sorted(z for z in zones if tasks_beside_image[z] >= most))]
+        usable = [(m, c) for m, c in usable if m.record.zone in zones]
+    if job.gang and sum(c for _, c in usable) < len(indexes):
         return []
-    cap = (spec.tasks + 1) // 2 if spec.spread else spec.tasks
-    left = {machine.name: count for machine, count in open_machines}
-    ranked = sorted(((rank(job, m), m) for m, _ in open_machines), key=lambda pair: pair[0])
+    zone_cap = (spec.tasks + 1) // 2 if spec.spread else spec.tasks
+    capacity = {machine.name: count for machine, count in usable}
+    ranked = sorted(((machine_rank(job, m), m) for m, _ in usable), key=lambda pair: pair[0])
     if job.array and not spec.spread:
-        return _plan_array(spec, indexes, ranked, left, random, promised, packing)
-    here: dict[str, int] = {}
+        return _plan_array(spec, indexes, ranked, capacity, random, promised, packing)
+    tasks_by_machine: dict[str, int] = {}
     if job.service:
         for placement in job.placed.values():
-            here[placement.machine.name] = here.get(placement.machine.name, 0) + 1
+            tasks_by_machine[placement.machine.name] = (
+                tasks_by_machine.get(placement.machine.name, 0) + 1
+            )
     planned: list[tuple[int, Machine]] = []
     for index in indexes:
         best: list[Machine] = []
         best_rank: tuple[int, ...] | None = None
-        for order, machine in ranked:
+        for base_rank, machine in ranked:
             name = machine.name
-            if left[name] <= 0 or counts.get(machine.record.zone, 0) >= cap:
+            if capacity[name] <= 0 or counts.get(machine.record.zone, 0) >= zone_cap:
                 continue
-            # A service's replicas on one machine fail together: spread them where there is room,
-            # but not at the price of an image's fetch.
-            full: tuple[int, ...] = order
+            # Replicas of a service on one machine fail together, so spread them where there is
+            # room, but not at the cost of fetching an image.
+            full_rank: tuple[int, ...] = base_rank
             if job.service:
-                full = (*order[:2], here.get(name, 0), order[2])
-            elif job.gang and order[1]:
-                # All tasks wait for the slowest fetch: as few machines as will do, each for
-                # as many of the tasks as it has room for.
-                fetches = 1 if name in here else order[1]
-                full = (order[0], fetches, order[2], -min(left[name], len(indexes) - len(planned)))
+                full_rank = (*base_rank[:2], tasks_by_machine.get(name, 0), base_rank[2])
+            elif job.gang and base_rank[1]:
+                # All tasks wait for the slowest fetch, so use few machines, each for as many
+                # tasks as it has room for.
+                fetches = 1 if name in tasks_by_machine else base_rank[1]
+                full_rank = (
+                    base_rank[0],
+                    fetches,
+                    base_rank[2],
+                    -min(capacity[name], len(indexes) - len(planned)),
+                )
             elif job.gang:
-                full = (*order, 0)
-            if best_rank is None or full < best_rank:
-                best, best_rank = [machine], full
-            elif full == best_rank:
+                full_rank = (*base_rank, 0)
+            if best_rank is None or full_rank < best_rank:
+                best, best_rank = [machine], full_rank
+            elif full_rank == best_rank:
                 best.append(machine)
         if not best:
             break
@@ -297,8 +310,8 @@
             fullest = min(unpromised_room(m, promised)[0] for m in best)
             best = [m for m in best if unpromised_room(m, promised)[0] <= fullest + ROOM_EPSILON]
         machine = best[0] if len(best) == 1 else random.choice(best)
-        left[machine.name] -= 1
-        here[machine.name] = here.get(machine.name, 0) + 1
+        capacity[machine.name] -= 1
+        tasks_by_machine[machine.name] = tasks_by_machine.get(machine.name, 0) + 1
         counts[machine.record.zone] = counts.get(machine.record.zone, 0) + 1
         add_promised(promised, machine.name, spec)
         planned.append((index, machine))
@@ -313,13 +326,13 @@
     spec: Job,
     indexes: list[int],
     ranked: list[tuple[tuple[int, int, int], Machine]],
-    left: dict[str, int],
+    capacity: dict[str, int],
     random: Random,
     promised: RoomByMachine,
     packing: bool,
 ) -> list[tuple[int, Machine]]:
-    """Independent tasks need no look at each other: group by group, the random pick (or, when
-    packing, the fullest first) costs a step a task, however many machines there are."""
+    """Plans independent tasks, one rank of machines after the other: at random, or when packing the
+    fullest first. Takes one step for each task, however many machines there are."""
     planned: list[tuple[int, Machine]] = []
     waiting = iter(indexes)
     for _, group in groupby(ranked, key=lambda pair: pair[0]):
@@ -329,15 +342,15 @@
             random.shuffle(machines)
             machines.sort(key=lambda m: -unpromised_room(m, promised)[0])
         while machines:
-            at = len(machines) - 1 if filling else random.randrange(len(machines))
+            position = len(machines) - 1 if filling else random.randrange(len(machines))
             index = next(waiting, None)
             if index is None:
                 return planned
-            machine = machines[at]
+            machine = machines[position]
             planned.append((index, machine))
             add_promised(promised, machine.name, spec)
-            left[machine.name] -= 1
-            if not left[machine.name]:
-                machines[at] = machines[-1]
+            capacity[machine.name] -= 1
+            if not capacity[machine.name]:
+                machines[position] = machines[-1]
                 machines.pop()
     return planned
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -38,8 +38,8 @@
 def test_a_group_put_in_order_seldom_serves_as_one_put_in_order_always(
     small: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(backlog, "SMALL", small)
-    monkeypatch.setattr(backlog, "ORDER_S", 0.01)
+    monkeypatch.setattr(backlog, "SMALL_GROUP_JOB_COUNT", small)
+    monkeypatch.setattr(backlog, "SORT_INTERVAL_PER_JOB_S", 0.01)
     w = full(300, outfit="guests")
     w.run(20)
     # One that comes late and is due at once goes first all the same, behind none that came since.
@@ -53,18 +53,18 @@
     w = full(2000)
     w.run(3)
     looked: list[int] = []
-    compete = Claimer.compete
+    compete = Claimer.try_claim
 
     def counted(self: Claimer, *args: Any) -> None:
         looked.append(1)
         compete(self, *args)
 
-    monkeypatch.setattr(Claimer, "compete", counted)
+    monkeypatch.setattr(Claimer, "try_claim", counted)
     w.run(10)
     owner = w.owners["n0"]
     assert owner.backlog.resting_count > 1900 and len(owner.backlog.active) < 30
     # Two passes a second at most under such a backlog, each of one group.
-    assert len(looked) < 10 * 2.5 * (backlog.FIRST + 30)
+    assert len(looked) < 10 * 2.5 * (backlog.GROUP_JOBS_PER_PASS_COUNT + 30)
 
 
 def test_what_is_over_or_cancelled_leaves_the_backlog() -> None:
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -8,7 +8,7 @@
 from msgspec import convert
 
 from sagecove.coordination.model import JobRun, Placement, fixed_precedence
-from sagecove.coordination.preemption_policy import may_stop
+from sagecove.coordination.preemption_policy import may_preempt
 from sagecove.lab.deployment import job
 from sagecove.lab.world import World
 from sagecove.protocol.users import Job
@@ -50,7 +50,7 @@
 ) -> None:
     first = run_of(mine, within)
     victim = run_of(other, other_within, outfit="red" if same_team else "blue")
-    if may_stop(first, victim):
+    if may_preempt(first, victim):
         assert fixed_precedence(first) < fixed_precedence(victim)
         lower = victim.priority < first.priority
         assert lower or (within and not other_within and not same_team)
@@ -74,7 +74,7 @@
         placement.started_at = world.owners["n0"].now - ran
         placements.append(placement)
     run = world.owners["n0"].estimates.expected_run_s(victim)
-    worth, soon = stopping.sort(patience, victim, placements)
+    worth, soon = stopping.split_by_remaining_run(patience, victim, placements)
     assert len(worth) + soon <= len(placements)
     for placement in worth:
         ran, count = tasks[placement.index]
@@ -119,7 +119,7 @@
     placement = Placement(victim, 0, "run-000001/0", 1, None)  # type: ignore[arg-type]
     placement.started_at = world.owners["n0"].now
     assert stopping.worth(20.0, victim, placement)
-    stopping.stopped(placement)
+    stopping.note_stop(placement)
     assert not stopping.worth(20.0, victim, placement)
     # A gang or a service, which has no patience, may stop it all the same.
     assert stopping.worth(0.0, victim, placement)
