--- a/sagecove/coordination/claims/claimer.py
+++ b/sagecove/coordination/claims/claimer.py
@@ -69,7 +69,7 @@
 
     def claim_ahead_count(self, job: JobRun) -> int:
         """Counts the tasks of an array that will soon find room as its running tasks end here.
-        Tasks that have run far longer than estimated are left out."""
+        Estimates may be far too low, so tasks that run far longer than estimated don't count."""
         if not job.array or job.judged_faulty or not job.placed:
             return 0
         run_s = job.spec.estimate_s * self.estimates.run_time_ratios.get(job.spec.klass, 1.0)
@@ -198,8 +198,8 @@
         return min(count, most - held.bit_count())
 
     def _reclaim_part(self, now: float, job: JobRun, shard: str) -> int:
-        """Counts the tasks that this shard preempts for. Borrowers give back in proportion on all
-        shards, so each controller has a part, which all compute alike; after two polls, any."""
+        """Counts the tasks that this shard preempts for. Borrowers give back in proportion, so all
+        controllers compute the same part for each shard; after two polls any shard may take all."""
         wanted = job.unfinished.bit_count()
         if (
             not job.within_guarantee
@@ -222,7 +222,7 @@
         promised: RoomByMachine,
         planned_count: int = 0,
     ) -> None:
-        """Requests more of the team's limit if only that keeps tasks from room here."""
+        """Requests more of the limit if only that keeps tasks from room, free or to be freed."""
         wanted = job.unclaimed.bit_count()
         allowed = self.limits.claimable(shard, job.spec, wanted)
         if allowed >= wanted or job.judged_faulty or not self.state.preemption_due:
