--- a/bench/restart.py
+++ b/bench/restart.py
@@ -36,7 +36,7 @@
     phases: dict[str, Callable[[str], bool]] = {
         "loaded": lambda n: w.owners[n].mirror.loaded,
         "term": lambda n: n in w.owners[n].held_shards,
-        "ready": lambda n: w.owners[n].router.ready(),
+        "ready": lambda n: w.owners[n].router.is_ready(),
         "half of its machines back": lambda n: known(n, 0.5),
         "nine in ten back": lambda n: known(n, 0.9),
         "all back": lambda n: known(n, 1.0),
--- a/sagecove/coordination/effects.py
+++ b/sagecove/coordination/effects.py
@@ -1,4 +1,4 @@
-"""What goes into the owner (commands) and what comes out (effects)."""
+"""Inputs of the owner (commands) and its outputs (effects)."""
 
 import dataclasses
 from typing import Any
@@ -6,7 +6,7 @@
 
 @dataclasses.dataclass(slots=True)
 class IncomingRequest:
-    """A request came in, from a user, a worker or a peer."""
+    """A request from a user, a worker or a peer."""
 
     method: str
     path: str
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True)
 class CallResult:
-    """A call was answered; `status` None means no response, 0 that it was never sent."""
+    """The outcome of an outgoing call; status None: no response, 0: never sent."""
 
     token: int
     status: int | None
@@ -26,7 +26,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Reply:
-    """Answer a request."""
+    """Sends the answer to a request."""
 
     exchange: Any
     status: int
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OutgoingCall:
-    """Send a request to `target`: state, cloud, or the address of a peer or worker."""
+    """Sends a request to `target`: "state", "cloud", or the address of a peer or worker."""
 
     token: int
     target: str
--- a/sagecove/coordination/explain.py
+++ b/sagecove/coordination/explain.py
@@ -1,7 +1,7 @@
-"""Answers to "why does my job wait?" and "who is hogging the racks?", read off the owner's state.
+"""Read-only views of the owner's state: why a job waits, and what the cluster is doing.
 
-Nothing here changes anything, and all of it comes from memory: one pass over jobs or machines for
-a question, so that asking is no load. It is what this controller knows; it says so.
+Answers come from memory with one pass over jobs or machines, so that asking causes no load. They
+contain what this controller knows, and name the controller.
 """
 
 from __future__ import annotations
@@ -22,44 +22,44 @@
 )
 from sagecove.coordination.placement import type_allowed
 from sagecove.coordination.preemption_policy import PreemptionPolicy
-from sagecove.protocol import workers as w
+from sagecove.protocol import workers as worker_protocol
 from sagecove.protocol.views import Cluster, Explanation, MachineView, ShardView, TeamView
 from sagecove.storage.mirror import Mirror
 from sagecove.storage.records import HOLDER, MEMBER, PROVISIONER
 
 
-class Holders(Protocol):
-    """Who holds what."""
+class ShardLookup(Protocol):
+    """Answers questions about shards and their holders."""
 
     def holder_of(self, shard: str) -> str | None:
-        """The node that holds a shard, as far as is known."""
+        """Return the node that holds a shard, as far as is known."""
 
     def home_shard(self, job: JobRun) -> str:
-        """The shard that a gang is served in which fits nowhere yet."""
+        """Return the shard that serves a gang that fits in no shard yet."""
 
     def fleet_can_hold(self, job: JobRun) -> bool:
-        """The fleet as it is, were it empty, has room for all tasks of a job."""
+        """Return whether the current fleet, if it were empty, has room for all tasks of a job."""
 
 
-class Hearsay(Protocol):
-    """What peers say."""
+class PeerReports(Protocol):
+    """What peers reported in their hints."""
 
     def running_elsewhere(self, job_id: str) -> int:
-        """Running tasks of a job on other controllers' machines."""
+        """Return the number of a job's tasks that run on other controllers' machines."""
 
     def boot_status(self, machine: Machine) -> str:
-        """Whether a machine is `up`, `coming` or `overdue`."""
+        """Return whether a machine is `up`, `coming` or `overdue`."""
 
 
-class Connected(Protocol):
-    """The state service as seen from here."""
+class StateServiceStatus(Protocol):
+    """The connection to the state service."""
 
     def connected(self) -> bool:
-        """It answers."""
+        """Return whether the state service answers."""
 
 
-class Known(OwnerContext, Protocol):
-    """What is known here, to be told."""
+class ExplainContext(OwnerContext, Protocol):
+    """What the views need from the owner."""
 
     mirror: Mirror
     limits: TeamLimits
@@ -67,24 +67,24 @@
 
     @property
     def failures(self) -> FailureJudge:
-        """Who is to blame for errors."""
+        """The failure judge."""
 
     @property
-    def shards(self) -> Holders:
-        """Who holds what."""
+    def shards(self) -> ShardLookup:
+        """Shards and their holders."""
 
     @property
-    def peers(self) -> Hearsay:
-        """What peers say."""
+    def peers(self) -> PeerReports:
+        """What peers reported."""
 
     @property
-    def sync(self) -> Connected:
-        """The state service as seen from here."""
+    def sync(self) -> StateServiceStatus:
+        """The connection to the state service."""
 
 
-def explain_job(owner: Known, job: JobRun) -> Explanation:
-    """Why a job waits."""
-    running = sum(p.state == w.TASK_RUNNING for p in job.placed.values())
+def explain_job(owner: ExplainContext, job: JobRun) -> Explanation:
+    """Return the state of a job and the reasons why it waits."""
+    running = sum(p.state == worker_protocol.TASK_RUNNING for p in job.placed.values())
     return Explanation(
         job.id,
         job.spec.team,
@@ -96,16 +96,17 @@
         job.within_guarantee,
         owner.failures.fails_everywhere(job),
         {shard: n for shard in job.claims if (n := job.claimed(shard).bit_count())},
-        _reasons(owner, job),
+        _wait_reasons(owner, job),
         owner.settings.node,
     )
 
 
-def _reasons(owner: Known, job: JobRun) -> list[str]:
-    out: list[str] = []
+def _wait_reasons(owner: ExplainContext, job: JobRun) -> list[str]:
+    """Return the reasons why tasks of a job do not run yet."""
+    reasons: list[str] = []
     if owner.failures.fails_everywhere(job):
         pause = max(0.0, job.hold_until - owner.now)
-        out.append(
+        reasons.append(
             f"its tasks fail on every machine (seen on {len(job.failed_on)});"
             f" next try in {pause:.0f} s"
         )
@@ -116,35 +117,37 @@
         if shard not in owner.held_shards:
             holder = owner.shards.holder_of(shard)
             if holder is None:
-                out.append(f"{claimed} tasks: shard {shard} has no holder at the moment")
+                reasons.append(f"{claimed} tasks: shard {shard} has no holder at the moment")
             else:
-                out.append(f"{claimed} tasks are with {holder}, which can tell more")
+                reasons.append(f"{claimed} tasks are with {holder}, which can tell more")
             continue
-        if limbo := job.possibly_running.get(shard, 0):
-            out.append(
-                f"{limbo.bit_count()} tasks wait until machines of shard {shard} have reported to"
-                " their new holder"
+        if unaccounted := job.possibly_running.get(shard, 0):
+            reasons.append(
+                f"{unaccounted.bit_count()} tasks wait until machines of shard {shard} have"
+                " reported to their new holder"
             )
-        if lacking := job.placeable(shard).bit_count():
-            making = sum(job.reserved.values())
-            more = f"; others are being stopped for {making} of them" if making else ""
-            out.append(f"{lacking} tasks wait for room on machines of shard {shard}{more}")
+        if unplaced := job.placeable(shard).bit_count():
+            reserved_count = sum(job.reserved.values())
+            more = (
+                f"; others are being stopped for {reserved_count} of them" if reserved_count else ""
+            )
+            reasons.append(f"{unplaced} tasks wait for room on machines of shard {shard}{more}")
     states = [p.state for p in job.placed.values()]
-    if count := states.count(w.PULLING):
-        out.append(f"{count} tasks wait for their image")
-    if count := states.count(w.WAITING):
-        out.append(f"{count} tasks wait until the whole gang has its images")
-    stopped = {p.stopped_for for p in job.placed.values() if p.stop_grace_s is not None}
-    out += [f"tasks are being stopped for {whom}" for whom in sorted(stopped)]
+    if count := states.count(worker_protocol.PULLING):
+        reasons.append(f"{count} tasks wait for their image")
+    if count := states.count(worker_protocol.WAITING):
+        reasons.append(f"{count} tasks wait until the whole gang has its images")
+    stop_reasons = {p.stopped_for for p in job.placed.values() if p.stop_grace_s is not None}
+    reasons += [f"tasks are being stopped for {reason}" for reason in sorted(stop_reasons)]
     if job.unclaimed:
-        out += _unclaimed(owner, job)
+        reasons += _unclaimed_reasons(owner, job)
     if job.within_guarantee:
-        out += _owed(owner, job)
-    return out
+        reasons += _guarantee_reasons(owner, job)
+    return reasons
 
 
-def _owed(owner: Known, job: JobRun) -> list[str]:
-    """What a job within its team's guarantee is owed, from whom it will come, and by when."""
+def _guarantee_reasons(owner: ExplainContext, job: JobRun) -> list[str]:
+    """Return what a job within its team's guarantee is owed, by which teams, and from when on."""
     spec = job.spec
     count = job.unclaimed.bit_count() + sum(
         (job.claimed(shard) & ~job.placed_bits).bit_count()
@@ -153,68 +156,76 @@
     )
     if not count:
         return []
-    lack = count * to_millionths(spec.cpus), count * to_millionths(spec.gpus)
-    sources = owner.limits.standing.reclaim_sources(spec.team, lack)
+    missing = count * to_millionths(spec.cpus), count * to_millionths(spec.gpus)
+    sources = owner.limits.standing.reclaim_sources(spec.team, missing)
     if not sources:
         return [f"{count} tasks are owed to team {spec.team}; nobody borrows what they need"]
-    left = max(0.0, owner.preemption_policy.guarantee_wait_s - (owner.wall() - job.submitted_at))
-    whom = ", ".join(f"{name} ({_told(amount)})" for name, amount in sorted(sources.items()))
-    when = f"after {left:.1f} s" if left else "from now on"
-    return [f"{count} tasks are owed to team {spec.team}: {when} room is made by stopping {whom}"]
+    wait_left_s = max(
+        0.0, owner.preemption_policy.guarantee_wait_s - (owner.wall() - job.submitted_at)
+    )
+    victims = ", ".join(
+        f"{name} ({_format_amount(amount)})" for name, amount in sorted(sources.items())
+    )
+    when = f"after {wait_left_s:.1f} s" if wait_left_s else "from now on"
+    return [
+        f"{count} tasks are owed to team {spec.team}: {when} room is made by stopping {victims}"
+    ]
 
 
-def _told(amount: ResourceAmount) -> str:
+def _format_amount(amount: ResourceAmount) -> str:
     units = zip(amount, ("CPUs", "GPUs"), strict=True)
-    return ", ".join(f"{have / MILLIONTHS_PER_UNIT:g} {unit}" for have, unit in units if have)
+    return ", ".join(f"{value / MILLIONTHS_PER_UNIT:g} {unit}" for value, unit in units if value)
 
 
-def _unclaimed(owner: Known, job: JobRun) -> list[str]:
+def _unclaimed_reasons(owner: ExplainContext, job: JobRun) -> list[str]:
     spec = job.spec
-    out = []
+    reasons = []
     count = job.unclaimed.bit_count()
     need = count if job.claimed_whole else 1
-    spare = owner.limits.unclaimed(spec.team)
-    if need * spec.cpus > spare[0] or need * spec.gpus > spare[1]:
-        out.append(f"{count} tasks wait for team {spec.team}'s limit")
+    unclaimed_room = owner.limits.unclaimed(spec.team)
+    if need * spec.cpus > unclaimed_room[0] or need * spec.gpus > unclaimed_room[1]:
+        reasons.append(f"{count} tasks wait for team {spec.team}'s limit")
     fitting = {t.name for t in owner.machine_types.values() if type_allowed(spec, t)}
     coming = sum(
         m.record.type in fitting and not m.record.leaving and owner.peers.boot_status(m) == "coming"
         for m in owner.machines.values()
     )
-    mine = precedence(job)
+    own_precedence = precedence(job)
     ahead = [
         j
         for j in owner.jobs.values()
         if j is not job
         and j.unclaimed
         and not owner.failures.fails_everywhere(j)
-        and precedence(j) < mine
+        and precedence(j) < own_precedence
         and any(type_allowed(j.spec, t) for t in owner.machine_types.values() if t.name in fitting)
     ]
     text = f"{count} tasks wait for room on machines of type {', '.join(sorted(fitting)) or '-'}"
     if coming:
         text += f"; {coming} of these are booting"
-    out.append(text)
+    reasons.append(text)
     if job.gang:
-        out.append(_whole(owner, job))
+        reasons.append(_gang_reason(owner, job))
     if ahead:
         first = min(ahead, key=precedence)
-        out.append(f"{len(ahead)} jobs come first, such as {first.id}: {_rule(first, job)}")
-    return out
+        reasons.append(
+            f"{len(ahead)} jobs come first, such as {first.id}: {_deciding_rule(first, job)}"
+        )
+    return reasons
 
 
-def _whole(owner: Known, job: JobRun) -> str:
-    """From when on room is kept for a gang, or why it is not."""
+def _gang_reason(owner: ExplainContext, job: JobRun) -> str:
+    """Return from when on room is reserved for a gang, or why it is not."""
     if not owner.shards.fleet_can_hold(job):
         where = "in one zone " if job.spec.one_zone else ""
         return f"the machines there are could not hold all {job.spec.tasks} tasks {where}at once"
-    left = job.first_seen_at + gang_long_wait_s(owner.machine_types.values()) - owner.now
-    when = f"in {left:.0f} s" if left > 0 else "from now on"
+    wait_left_s = job.first_seen_at + gang_long_wait_s(owner.machine_types.values()) - owner.now
+    when = f"in {wait_left_s:.0f} s" if wait_left_s > 0 else "from now on"
     return f"{when} what comes free in shard {owner.shards.home_shard(job)} waits for it"
 
 
-def _rule(first: JobRun, job: JobRun) -> str:
-    """By which rule one job comes before another."""
+def _deciding_rule(first: JobRun, job: JobRun) -> str:
+    """Return the rule that puts job `first` before another."""
     if (first.priority == 3) != (job.priority == 3):
         return "it is a production job"
     if first.within_guarantee != job.within_guarantee:
@@ -228,8 +239,8 @@
     return "it is older"
 
 
-def cluster_view(owner: Known) -> Cluster:
-    """Members, shards and their holders, teams against guarantee and limit, machines in trouble."""
+def cluster_view(owner: ExplainContext) -> Cluster:
+    """Return members, shards and holders, teams' use and limits, and machines in trouble."""
     settings = owner.settings
     now = owner.now
     items = owner.mirror.items
@@ -267,34 +278,34 @@
         role.value.node if role is not None and role.value is not None else None,
         len(owner.machines),
         shards,
-        _teams(owner),
+        _team_views(owner),
         sorted(troubled, key=lambda m: m.name)[:200],
         sorted(j.id for j in owner.jobs.values() if owner.failures.fails_everywhere(j))[:200],
     )
 
 
-def _teams(owner: Known) -> list[TeamView]:
+def _team_views(owner: ExplainContext) -> list[TeamView]:
     used: dict[str, list[float]] = {}
     owed: dict[str, list[float]] = {}
     for job in owner.jobs.values():
         waiting = job.unclaimed.bit_count()
         if job.within_guarantee:
-            lacking = owed.setdefault(job.spec.team, [0.0, 0.0])
-            lacking[0] += waiting * job.spec.cpus
-            lacking[1] += waiting * job.spec.gpus
-        have = used.setdefault(job.spec.team, [0.0, 0.0, 0.0])
+            team_owed = owed.setdefault(job.spec.team, [0.0, 0.0])
+            team_owed[0] += waiting * job.spec.cpus
+            team_owed[1] += waiting * job.spec.gpus
+        team_used = used.setdefault(job.spec.team, [0.0, 0.0, 0.0])
         claimed = (job.unfinished & ~job.unclaimed).bit_count()
-        have[0] += claimed * job.spec.cpus
-        have[1] += claimed * job.spec.gpus
-        have[2] += waiting
-    out = []
+        team_used[0] += claimed * job.spec.cpus
+        team_used[1] += claimed * job.spec.gpus
+        team_used[2] += waiting
+    views = []
     for team in owner.settings.params.teams:
         cpus, gpus, tasks = used.get(team.name, (0.0, 0.0, 0.0))
         lacks = owed.get(team.name, (0.0, 0.0))
         entitled = [
             amount / MILLIONTHS_PER_UNIT for amount in owner.limits.standing.entitlement(team)
         ]
-        out.append(
+        views.append(
             TeamView(
                 team.name,
                 round(cpus, 3),
@@ -312,4 +323,4 @@
                 round(max(0.0, team.gpus - gpus - lacks[1]), 3),
             )
         )
-    return out
+    return views
--- a/sagecove/coordination/interfaces.py
+++ b/sagecove/coordination/interfaces.py
@@ -1,4 +1,7 @@
-"""What parts of the owner may ask of one another: a leaf, so that no import runs back up."""
+"""Interfaces between the parts of the owner.
+
+This module imports none of the parts, so that the parts can import it without import cycles.
+"""
 
 from __future__ import annotations
 
@@ -15,15 +18,15 @@
 from sagecove.storage.mirror import Event
 from sagecove.storage.store import Result
 
-# Who hears an answer: status (None: no response; 0: never sent) and body.
+# Receives the outcome of a call: status (None: no response, 0: never sent) and body.
 ResponseCallback = Callable[[int | None, bytes], None]
 
-# Seconds between two ticks of the owner.
+# Time between two ticks of the owner.
 TICK_S = 0.25
 
 
 class BaseContext(Protocol):
-    """The owner's time (seconds of the steady clock), its settings, and its tables by name."""
+    """The owner's time (monotonic clock, seconds), settings, and jobs and machines by name."""
 
     now: float
     settings: Settings
@@ -31,62 +34,62 @@
     machines: dict[str, Machine]
 
     def wall(self) -> float:
-        """The time of day."""
+        """Return the wall clock time in seconds."""
 
 
 class FailureJudge(Protocol):
-    """Who is to blame for errors."""
+    """Decides whether jobs or machines cause task failures."""
 
     def fails_everywhere(self, job: JobRun) -> bool:
-        """The job fails everywhere."""
+        """Return whether the job fails on every machine."""
 
 
 class ArrayRanking(Protocol):
-    """The order among jobs of equal standing."""
+    """Orders jobs of equal fixed precedence."""
 
     def update_rank(self, job: JobRun) -> None:
-        """Find an array's place as of now."""
+        """Update an array's rank to the current time."""
 
 
 class BacklogContext(BaseContext, Protocol):
-    """What the backlog asks of its surroundings."""
+    """What the backlog needs from the owner."""
 
     @property
     def failures(self) -> FailureJudge:
-        """Who is to blame for errors."""
+        """The failure judge."""
 
     @property
     def estimates(self) -> ArrayRanking:
-        """The order of arrays."""
+        """The ranking of arrays."""
 
 
 class BorrowingLevels(Protocol):
-    """What teams borrow."""
+    """Tells how much teams borrow."""
 
     def borrowing_level(self, team: str) -> int:
-        """How much a team borrows for the size of its guarantee, in powers of two."""
+        """Return how much a team borrows relative to its guarantee, in powers of two."""
 
 
 class EstimatesContext(BaseContext, Protocol):
-    """What learning asks of its surroundings."""
+    """What the estimates need from the owner."""
 
     @property
     def claim_totals(self) -> BorrowingLevels:
-        """What teams borrow."""
+        """The claims of all teams."""
 
     machine_types: dict[str, MachineType]
     held_shards: dict[str, Shard]
 
 
 class OwnerContext(BaseContext, Protocol):
-    """The owner's tables as its parts read them, and how what they decide leaves."""
+    """The owner's state as its parts read it, and the way to write to the state service."""
 
     random: Random
-    # Shards held here; all machines by shard; machine types.
+    # Shards held here; all machines by shard and name; machine types by name.
     held_shards: dict[str, Shard]
     machines_by_shard: dict[str, dict[str, Machine]]
     machine_types: dict[str, MachineType]
-    # Something has changed that a pass should look at.
+    # Something has changed that the next scheduling pass has to consider.
     pass_needed: bool
 
     def commit(
@@ -97,98 +100,98 @@
         *,
         urgent: bool = False,
     ) -> None:
-        """A transaction; `done` hears its outcome."""
+        """Send a transaction; `done` is called with its outcome."""
 
-    def count(self, what: str) -> None:
-        """Count an event, for metrics."""
+    def count(self, event: str) -> None:
+        """Increment the metric of an event."""
 
 
 class MachineCommands(Protocol):
-    """Commands to machines."""
+    """Sends commands to machines."""
 
     def stop_task(self, placement: Placement, grace_s: float, stopped_for: str) -> None:
-        """A task is to stop, with this grace (seconds)."""
+        """Stop a task, with a grace period."""
 
     def mark_urgent(self, machine: Machine) -> None:
-        """A machine has commands waiting."""
+        """Send the machine's waiting commands without waiting for its next report."""
 
 
 class ShardQueries(Protocol):
-    """Shards, and what belongs to them."""
+    """Answers questions about shards and their machines."""
 
     def active_shards(self, now: float) -> list[str]:
-        """Shards for which this controller may act now."""
+        """Return the shards for which this controller may act now."""
 
     def gang_home_shard(self, job: JobRun) -> str | None:
-        """The shard that a gang of whole machines belongs to."""
+        """Return the shard that serves a gang whose tasks need whole machines."""
 
     def home_shard(self, job: JobRun) -> str:
-        """The shard that a gang is served in which fits nowhere yet."""
+        """Return the shard that serves a gang that fits in no shard yet."""
 
     def fleet_can_hold(self, job: JobRun) -> bool:
-        """The fleet as it is, were it empty, has room for all tasks of a job."""
+        """Return whether the current fleet, if it were empty, has room for all tasks of a job."""
 
     def tasks_beyond_capacity(self, job: JobRun, shard: str) -> int:
-        """Tasks of a job that a shard, were it empty, has no room for."""
+        """Return how many tasks of a job have no room in a shard, even if it were empty."""
 
 
 class MirrorSync(Protocol):
-    """The mirror's upkeep."""
+    """Keeps the mirror of the state service up to date."""
 
     def request_sync(self) -> None:
-        """The mirror is seen to be behind."""
+        """Request a read, because the mirror is known to be behind."""
 
 
 class DrainHints(Protocol):
-    """What peers say of machines that are to run empty."""
+    """Peers' hints about machines to be drained."""
 
-    # By shard, until when.
+    # By shard: when the hint expires.
     draining_until: dict[str, float]
 
 
 @dataclasses.dataclass
 class SubmissionGuard:
-    """What a submission must find and write beside its own record."""
+    """Extra conditions and changes of a submission's transaction, beside the job's own record."""
 
     conditions: list[tuple[str, int]]
     changes: list[wire.Put | wire.Drop]
 
 
 class Feature(Protocol):
-    """A package beside the core, turned on in deploy/features.toml. The core imports none."""
+    """An optional package enabled in deploy/features.toml. The core does not import it."""
 
-    # Key prefixes of its own below `s/`, each with the struct its values are.
+    # The feature's key prefixes below `s/`, each with the struct type of its values.
     records: list[tuple[str, Any]]
 
     def key_changed(self, event: Event) -> None:
-        """A key of its own has changed in the mirror."""
+        """Handle the change of one of the feature's keys in the mirror."""
 
-    def handle_request(self, ask: IncomingRequest) -> bool:
-        """A request that the core has no answer to; True if it is the feature's to answer."""
+    def handle_request(self, request: IncomingRequest) -> bool:
+        """Handle a request unknown to the core; return whether the feature answers it."""
 
     def job_seen(self, job: JobRun) -> None:
-        """A job has come, by a record of its own or by a home of ours."""
+        """Handle a new job, whether it has its own record or a `DurableState` of this feature."""
 
     def job_over(self, job: JobRun) -> None:
-        """A job is over, durably."""
+        """Handle the durable end of a job."""
 
     def before_pass(self, now: float) -> None:
-        """A pass over jobs and machines is about to begin."""
+        """Prepare for a scheduling pass over jobs and machines."""
 
     def after_pass(self, now: float) -> None:
-        """A pass is over: what it has given to the feature's homes may be written."""
+        """Write what the pass has handed to the feature's `DurableState` objects."""
 
     def tick(self, now: float) -> None:
-        """Some quarter of a second has passed."""
+        """Do periodic work, about every `TICK_S`."""
 
     def answer_unknown_job(self, kind: str, job_id: str, exchange: Any) -> bool:
-        """A user asks (`status`, `cancel`, `submit`) for a job that the core does not know. True
-        if the feature will answer. The read that this rests on has been done."""
+        """Answer a `status`, `cancel` or `submit` request for a job unknown to the core, after the
+        read that such an answer requires. Return whether the feature answers."""
 
     def submission_guard(self, job_id: str) -> SubmissionGuard | str | None:
-        """What the submission of a job of this id needs beside the core's own conditions; a reason
-        why no job may have it; None for nothing."""
+        """Return what the submission of a job with this id needs beside the core's conditions, the
+        reason why no job may have the id, or None if nothing is needed."""
 
     def unfinished_work(self) -> Iterable[tuple[float, str, str, float, float]]:
-        """Unfinished work that is not among the owner's jobs, for the count of guarantees: (when
-        submitted, id to order by, team, CPUs, GPUs)."""
+        """Yield unfinished work that is not among the owner's jobs, to be counted for guarantees:
+        (submission time, id to order by, team, CPUs, GPUs)."""
--- a/sagecove/coordination/maintenance.py
+++ b/sagecove/coordination/maintenance.py
@@ -17,17 +17,17 @@
 log = logging.getLogger("sagecove.upkeep")
 
 # A job that waits this long is told of in the log, and again after as long.
-WAIT_TOLD_S = 20.0
+LONG_WAIT_S = 20.0
 
 
-class Leaving(Protocol):
+class MachineReturns(Protocol):
     """Machines that are no longer wanted."""
 
     def mark_for_return(self, machine: Machine, why: str) -> None:
         """Hand a machine to the provisioner for its return."""
 
 
-class Limiting(Protocol):
+class LimitQueries(Protocol):
     """Teams' limits."""
 
     def claimable_anywhere(self, spec: Job, wanted: int) -> int:
@@ -39,33 +39,33 @@
 
     def __init__(
         self,
-        desk: OwnerContext,
+        context: OwnerContext,
         shards: ShardQueries,
-        workers: Leaving,
+        workers: MachineReturns,
         estimates: Estimates,
         backlog: Backlog,
-        limits: Limiting,
-        why: Callable[[JobRun], list[str]],
+        limits: LimitQueries,
+        explain_wait: Callable[[JobRun], list[str]],
     ) -> None:
-        self.desk = desk
+        self.context = context
         self.shards = shards
         self.workers = workers
         self.estimates = estimates
         self.backlog = backlog
         self.limits = limits
         # Why a job waits.
-        self.why = why
-        self.idle_at = 0.0
-        self.wait_told_at = 0.0
+        self.why = explain_wait
+        self.next_idle_check_at = 0.0
+        self.last_wait_log_at = 0.0
 
     def return_idle(self, now: float) -> None:
         """Return machines that have been idle for long, but keep a little room for arrivals."""
-        if now < self.idle_at:
+        if now < self.next_idle_check_at:
             return
-        self.idle_at = now + 4 * TICK_S
+        self.next_idle_check_at = now + 4 * TICK_S
         for name in self.shards.active_shards(now):
             idle: dict[tuple[str, bool], list[Machine]] = {}
-            machines = list(self.desk.machines_by_shard.get(name, {}).values())
+            machines = list(self.context.machines_by_shard.get(name, {}).values())
             for machine in machines:
                 if not machine.empty or machine.record.leaving or machine.machine_type is None:
                     continue
@@ -77,38 +77,46 @@
                 group.sort(key=lambda m: -m.idle_since)
                 kind = group[0].machine_type
                 assert kind is not None
-                patience = self._patience(kind)
+                idle_limit_s = self._idle_limit_s(kind)
                 # Kept whether services came or not, a machine of each shard stayed for good.
-                warm = not group[0].record.spot and self.estimates.service_expected(1.5 * patience)
-                keep = self._keep(kind, machines) if warm else 0
-                keep = max(keep, self._for_tries(group[0]))
+                services_likely = not group[0].record.spot and self.estimates.service_expected(
+                    1.5 * idle_limit_s
+                )
+                keep = self._needed_for_services(kind, machines) if services_likely else 0
+                keep = max(keep, self._needed_for_retries(group[0]))
                 # Those that are up wait for as long as the others of their gang may yet come up.
                 # Else, of eight machines, those that were there first had been given back when the
                 # last one came, and were rented again: a gang waited so to the end of its day.
-                gangs = self._for_gangs(name, group[0])
-                until_up = self.estimates.boot_timeout_s(kind) if gangs else 0.0
+                gangs = self._needed_for_gangs(name, group[0])
+                boot_timeout_s = self.estimates.boot_timeout_s(kind) if gangs else 0.0
                 for rank, machine in enumerate(group[keep:]):
-                    if rank < gangs and now - machine.idle_since <= until_up:
+                    if rank < gangs and now - machine.idle_since <= boot_timeout_s:
                         continue
-                    age = self.desk.wall() - machine.record.at
+                    rented_for_s = self.context.wall() - machine.record.at
                     # A machine that is deleted costs 60 s at least: it may as well wait as long.
-                    drained = now < machine.drain_until and now - machine.idle_since > 2.0
-                    if (drained or now - machine.idle_since > patience) and age > 55.0:
+                    may_drain = now < machine.drain_until and now - machine.idle_since > 2.0
+                    if (
+                        may_drain or now - machine.idle_since > idle_limit_s
+                    ) and rented_for_s > 55.0:
                         self.workers.mark_for_return(machine, "idle")
 
-    def _for_tries(self, machine: Machine) -> int:
+    def _needed_for_retries(self, machine: Machine) -> int:
         """Machines like this one that the next try of a job takes which fails everywhere: none are
         rented for it, so that without one it would never be tried again."""
         kind = machine.machine_type
         assert kind is not None
-        most = 0
+        most_needed = 0
         for job in self.backlog.dirty_jobs.values():
             if job.judged_faulty and not job.placed and machine_allowed(job.spec, machine):
-                fit = max(1, tasks_fitting(job.spec, (kind.cpus, kind.gpus, kind.memory_gb)))
-                most = max(most, -(-job.spec.tasks // fit) if job.claimed_whole else 1)
-        return most
+                tasks_per_machine = max(
+                    1, tasks_fitting(job.spec, (kind.cpus, kind.gpus, kind.memory_gb))
+                )
+                most_needed = max(
+                    most_needed, -(-job.spec.tasks // tasks_per_machine) if job.claimed_whole else 1
+                )
+        return most_needed
 
-    def _for_gangs(self, shard: str, machine: Machine) -> int:
+    def _needed_for_gangs(self, shard: str, machine: Machine) -> int:
         """Machines like this one that gangs of whole machines take which wait for room in its
         shard."""
         kind = machine.machine_type
@@ -121,49 +129,55 @@
                 and not job.judged_faulty
                 and machine_allowed(job.spec, machine)
                 and (shard in job.claims or self.shards.gang_home_shard(job) == shard)
-                and self.limits.claimable_anywhere(job.spec, lack := job.unclaimed.bit_count())
-                >= lack
+                and self.limits.claimable_anywhere(
+                    job.spec, unclaimed_count := job.unclaimed.bit_count()
+                )
+                >= unclaimed_count
             ):
-                fit = max(1, tasks_fitting(job.spec, (kind.cpus, kind.gpus, kind.memory_gb)))
-                count += -(-job.spec.tasks // fit)
+                tasks_per_machine = max(
+                    1, tasks_fitting(job.spec, (kind.cpus, kind.gpus, kind.memory_gb))
+                )
+                count += -(-job.spec.tasks // tasks_per_machine)
         return count
 
-    def _patience(self, kind: MachineType) -> float:
+    def _idle_limit_s(self, kind: MachineType) -> float:
         """How long a machine may idle: longer where jobs come that need one of its own, since
         those would have to wait for a boot."""
-        patience = max(15.0, 0.8 * kind.boot_s)
+        idle_limit_s = max(15.0, 0.8 * kind.boot_s)
         arrivals = self.estimates.large_job_arrivals.get(kind.name)
         if arrivals and len(arrivals) > 1:
-            gap = (self.desk.now - arrivals[0]) / len(arrivals)
-            patience = max(patience, min(2.5 * gap, 5 * kind.boot_s))
-        return patience
+            arrival_gap_s = (self.context.now - arrivals[0]) / len(arrivals)
+            idle_limit_s = max(idle_limit_s, min(2.5 * arrival_gap_s, 5 * kind.boot_s))
+        return idle_limit_s
 
-    def _keep(self, kind: MachineType, machines: list[Machine]) -> int:
+    def _needed_for_services(self, kind: MachineType, machines: list[Machine]) -> int:
         """Idle machines a shard keeps for services to come: none where others can make room."""
         if kind.gpus > 0:
             return 0
-        room = 0.0
+        preemptible_cpus = 0.0
         for machine in machines:
             if machine.accepts_tasks and not machine.record.spot and machine.tasks:
-                fixed = sum(
+                production_cpus = sum(
                     p.job.spec.cpus
                     for p in machine.tasks.values()
                     if p.job is not None and p.takes_room and p.job.priority == 3
                 )
-                room += (machine.machine_type.cpus if machine.machine_type else 0.0) - fixed
-        return 0 if room >= kind.cpus else 1
+                preemptible_cpus += (
+                    machine.machine_type.cpus if machine.machine_type else 0.0
+                ) - production_cpus
+        return 0 if preemptible_cpus >= kind.cpus else 1
 
     def log_long_waits(self, now: float) -> None:
         """Log why jobs wait that have waited for long: the oldest few at a time."""
-        if now < self.wait_told_at + 5.0:
+        if now < self.last_wait_log_at + 5.0:
             return
-        self.wait_told_at = now
-        long = [
+        self.last_wait_log_at = now
+        long_waiting = [
             j
-            for j in self.desk.jobs.values()
-            if j.unclaimed and now - j.wait_logged_at > WAIT_TOLD_S
+            for j in self.context.jobs.values()
+            if j.unclaimed and now - j.wait_logged_at > LONG_WAIT_S
         ]
-        for job in sorted(long, key=lambda j: j.wait_logged_at)[:3]:
+        for job in sorted(long_waiting, key=lambda j: j.wait_logged_at)[:3]:
             job.wait_logged_at = now
             why = "; ".join(self.why(job))
             log.info("waits job=%s team=%s why=%s", job.id, job.spec.team, why)
--- a/sagecove/coordination/owner.py
+++ b/sagecove/coordination/owner.py
@@ -1,6 +1,7 @@
-"""The one owner of all state in a process.
+"""The single owner of a controller's state and decisions.
 
-Commands go in by batches (`handle`), effects come out as data. Time and randomness are passed in.
+`Owner.handle` takes a batch of commands and returns effects as data. Time and randomness are
+passed in, so the owner itself does no I/O.
 """
 
 from __future__ import annotations
@@ -44,23 +45,23 @@
 from sagecove.coordination.workers import Workers
 from sagecove.protocol import state as wire
 from sagecove.protocol.cloud import MachineType
-from sagecove.storage import records as r
+from sagecove.storage import records
 from sagecove.storage.mirror import Event, Item, Mirror
 from sagecove.storage.store import Outcome, Result, Store
 
 log = logging.getLogger("sagecove.owner")
 
-# A pass over jobs and machines, at most this often (seconds); under a backlog it costs more, and
-# one in `PASS_MOST_S` is enough then. Ticks come about as often.
-PASS_S = 0.08
-PASS_MOST_S = 0.5
-PASS_JOBS = 30
-# The owner is called at every tick; a longer time without a call is a gap in its own time.
-GAP_S = 8 * TICK_S
+# Time between two scheduling passes. Up to `JOBS_PER_MIN_INTERVAL_COUNT` open jobs the minimum; it
+# grows with more, since a pass then costs more; the maximum is of the order of a tick.
+MIN_PASS_INTERVAL_S = 0.08
+MAX_PASS_INTERVAL_S = 0.5
+JOBS_PER_MIN_INTERVAL_COUNT = 30
+# The owner is called at every tick; a longer time between calls means that the process paused.
+PROCESS_PAUSE_S = 8 * TICK_S
 
 
 class Owner:
-    """All state, and what is done about it."""
+    """Holds all state of the controller and creates the parts that act on it."""
 
     def __init__(
         self,
@@ -74,7 +75,7 @@
         self.random = random
         self.now = now
         self.started_at = now
-        # Since when this process has been running without a stop.
+        # Since when this process has been running without a pause.
         self.running_since = now
         self._wall_offset = wall - now
         self.effects: list[Effect] = []
@@ -89,15 +90,15 @@
         self.machines: dict[str, Machine] = {}
         self.machines_by_shard: dict[str, dict[str, Machine]] = {}
         self.machine_types: dict[str, MachineType] = {}
-        # Rentals written down whose answers have not been.
+        # Rentals with a durable record whose answer is not recorded yet.
         self.rentals: dict[str, Item] = {}
         self.held_shards: dict[str, Shard] = {}
         self.event_counts: dict[str, int] = {}
         self.pass_needed = True
-        # A job came or went: who is within a guarantee is to be found anew.
+        # A job was added or removed: the next pass recomputes which jobs are within guarantees.
         self.jobs_changed = True
-        self.passed_at = -1e9
-        self.ticked_at = -1e9
+        self.last_pass_at = -1e9
+        self.last_tick_at = -1e9
         self.sync = MirrorSync(self)
         self.peers = Peers(self)
         self.estimates = Estimates(self)
@@ -129,7 +130,13 @@
             self, self.ledger, self.limits, self.backlog, self.shards, self.sync
         )
         self.maintenance = Maintenance(
-            self, self.shards, self.workers, self.estimates, self.backlog, self.limits, self._why
+            self,
+            self.shards,
+            self.workers,
+            self.estimates,
+            self.backlog,
+            self.limits,
+            self._wait_reasons,
         )
         self.preemption_policy = PreemptionPolicy(self, self.estimates)
         self.scheduling_pass = SchedulingPass(
@@ -154,13 +161,13 @@
             *(kind for feature in self.features for kind in feature.records),
         ]
 
-    # -- the loop -------------------------------------------------------------------------------
+    # -- main loop -----------------------------------------------------------------------------
 
     def handle(self, commands: list[Command], now: float, wall: float) -> list[Effect]:
-        """Take in a batch of commands; what is to be done about them."""
-        if now - self.now > GAP_S:
-            # It stood still while its clocks ran on, or was starved. Authority is judged by the
-            # time after the gap anyway; what peers and workers said, or did not, is not current.
+        """Process a batch of commands and return the resulting effects."""
+        if now - self.now > PROCESS_PAUSE_S:
+            # The process was paused or starved while its clocks ran on. Leases are checked against
+            # the time after the pause; what peers told, and workers' silence, is out of date.
             log.info("stood still seconds=%.1f", now - self.now)
             self.running_since = now
             self.peers.hints.clear()
@@ -176,12 +183,12 @@
                     done(command.status, command.body)
             else:
                 self.router.handle(command)
-        if now - self.ticked_at >= TICK_S:
-            self.ticked_at = now
+        if now - self.last_tick_at >= TICK_S:
+            self.last_tick_at = now
             self._tick(now)
-        if self.pass_needed and now - self.passed_at >= self._pass_s():
+        if self.pass_needed and now - self.last_pass_at >= self._pass_interval_s():
             self.pass_needed = False
-            self.passed_at = now
+            self.last_pass_at = now
             self._pass(now)
         self.workers.send_urgent_commands(now)
         self.sync.sync_if_due(now)
@@ -190,26 +197,30 @@
         return effects
 
     def seconds_until_due(self) -> float:
-        """Seconds until the owner wants to be called again, commands or none."""
-        waits = [TICK_S - (self.now - self.ticked_at)]
+        """Return the seconds until `handle` has to be called again, even without commands."""
+        delays_s = [TICK_S - (self.now - self.last_tick_at)]
         if self.pass_needed:
-            waits.append(self._pass_s() - (self.now - self.passed_at))
+            delays_s.append(self._pass_interval_s() - (self.now - self.last_pass_at))
         if self.sync.sync_requested and not self.sync.syncing:
-            waits.append(self.sync.next_sync_at - self.now)
+            delays_s.append(self.sync.next_sync_at - self.now)
         if self.store.queued:
-            waits.append(self.store.flush(self.now) or 0.01)
-        return max(0.002, min(waits))
-
-    def _pass_s(self) -> float:
-        return min(PASS_MOST_S, PASS_S * max(1.0, self.scheduling_pass.open_job_count / PASS_JOBS))
+            delays_s.append(self.store.flush(self.now) or 0.01)
+        return max(0.002, min(delays_s))
+
+    def _pass_interval_s(self) -> float:
+        return min(
+            MAX_PASS_INTERVAL_S,
+            MIN_PASS_INTERVAL_S
+            * max(1.0, self.scheduling_pass.open_job_count / JOBS_PER_MIN_INTERVAL_COUNT),
+        )
 
     def wall(self) -> float:
-        """The time of day."""
+        """Return the wall clock time in seconds."""
         return self.now + self._wall_offset
 
-    def count(self, what: str) -> None:
-        """Count an event, for metrics."""
-        self.event_counts[what] = self.event_counts.get(what, 0) + 1
+    def count(self, event: str) -> None:
+        """Increment the metric of an event."""
+        self.event_counts[event] = self.event_counts.get(event, 0) + 1
 
     def _tick(self, now: float) -> None:
         if not self.mirror.loaded:
@@ -236,8 +247,10 @@
     def _pass(self, now: float) -> None:
         if self.jobs_changed:
             self.jobs_changed = False
-            loads = [load for feature in self.features for load in feature.unfinished_work()]
-            self.guarantees.mark_covered_jobs(loads)
+            unfinished_work = [
+                load for feature in self.features for load in feature.unfinished_work()
+            ]
+            self.guarantees.mark_covered_jobs(unfinished_work)
         for feature in self.features:
             feature.before_pass(now)
         self.backlog.reclassify_dirty()
@@ -247,18 +260,18 @@
         for feature in self.features:
             feature.after_pass(now)
 
-    def _why(self, job: JobRun) -> list[str]:
-        """Why a job waits: hardly ever asked, so not loaded before."""
+    def _wait_reasons(self, job: JobRun) -> list[str]:
+        """Return why a job waits. The module is rarely needed, so it is imported on demand."""
         from sagecove.coordination import explain
 
         return explain.explain_job(self, job).reasons
 
-    # -- calls ----------------------------------------------------------------------------------
+    # -- outgoing calls -------------------------------------------------------------------------
 
     def call(
         self, target: str, method: str, path: str, body: Any, timeout: float, done: ResponseCallback
     ) -> None:
-        """Emit a call; `done` hears its answer."""
+        """Emit a call; `done` is called with its outcome."""
         self.last_call_token += 1
         self.pending_calls[self.last_call_token] = done
         self.effects.append(OutgoingCall(self.last_call_token, target, method, path, body, timeout))
@@ -282,17 +295,17 @@
         *,
         urgent: bool = False,
     ) -> None:
-        """A transaction; on success the mirror learns of it at once."""
+        """Send a transaction; once it succeeds, its changes are applied to the mirror at once."""
 
         def committed(result: Result) -> None:
             if result.outcome is Outcome.DONE:
                 for change in changes:
                     key = change.key
                     value = change.value if isinstance(change, wire.Put) else None
-                    if key.startswith(r.LIVE):
+                    if key.startswith(records.LIVE):
                         self.apply_event(Event(key, value, result.revision))
-                    elif isinstance(value, r.OverRecord):
-                        job_id = key[len(r.OVER) :]
+                    elif isinstance(value, records.OverRecord):
+                        job_id = key[len(records.OVER) :]
                         self.users.remember_final_state(
                             job_id, value.state, value.tasks, result.revision
                         )
@@ -303,37 +316,38 @@
     def put_machine(
         self,
         name: str,
-        record: r.MachineRecord,
+        record: records.MachineRecord,
         stamp: int,
         shard: Shard,
         done: Callable[[Result], None],
     ) -> None:
-        """Write a machine's record as its shard's holder."""
-        key = r.MACHINE + name
-        conditions = [(key, stamp), (r.HOLDER + shard.name, shard.term)]
+        """Write a machine's record, on condition that this controller still holds its shard."""
+        key = records.MACHINE + name
+        conditions = [(key, stamp), (records.HOLDER + shard.name, shard.term)]
         self.commit(conditions, [wire.Put(key, record)], done)
 
     # -- the mirror -----------------------------------------------------------------------------
 
     def apply_event(self, event: Event) -> None:
+        """Apply a change from the state service to the mirror and the in-memory state."""
         key = event.key
         if not self.mirror.apply(event):
             return
         self.pass_needed = True
-        if key.startswith(r.JOB):
-            self._job_changed(key[len(r.JOB) :], event)
-        elif key.startswith(r.RENTAL):
+        if key.startswith(records.JOB):
+            self._job_changed(key[len(records.JOB) :], event)
+        elif key.startswith(records.RENTAL):
             if event.value is None:
                 self.rentals.pop(key, None)
             else:
                 self.rentals[key] = self.mirror.items[key]
-        elif key.startswith(r.MACHINE):
-            self.inventory.machine_changed(key[len(r.MACHINE) :], event)
-        elif key == r.TYPES and event.value is not None:
+        elif key.startswith(records.MACHINE):
+            self.inventory.machine_changed(key[len(records.MACHINE) :], event)
+        elif key == records.TYPES and event.value is not None:
             self.inventory.types_changed(event.value.types)
         elif key.startswith((TRANSFERS_PREFIX, LIMIT_SPLIT_PREFIX)):
             self.limits.apply_event(event, self.now)
-        elif key.startswith(r.HOLDER):
+        elif key.startswith(records.HOLDER):
             if event.value is None:
                 self.leadership.update_held_shards()
         else:
@@ -342,8 +356,8 @@
                     feature.key_changed(event)
 
     def parse(self, key: str, raw: Any) -> Any:
-        """A record from a decoded JSON value, of the core or of a feature."""
-        return r.parse(key, raw, self.record_kinds)
+        """Convert a decoded JSON value to the record type of its key (core or feature)."""
+        return records.parse(key, raw, self.record_kinds)
 
     def _job_changed(self, job_id: str, event: Event) -> None:
         job = self.jobs.get(job_id)
@@ -359,11 +373,11 @@
             self.ledger.update_claims(job)
 
     def job_seen(self, job: JobRun) -> None:
-        """A job is new here."""
+        """Register a new job."""
         self.jobs[job.id] = job
         self.jobs_changed = True
         job.first_seen_at = job.wait_logged_at = self.now
-        # Or all controllers would reach for it in the same moment, and all but one in vain.
+        # A random delay, so that not all controllers try to claim the job at the same moment.
         job.claim_after = self.now + self.random.uniform(0.0, self.settings.poll_s / 6)
         self.estimates.note_arrival_time(job)
         self.guarantees.add_job(job)
@@ -373,7 +387,7 @@
         self.ledger.update_claims(job)
 
     def job_over(self, job: JobRun) -> None:
-        """A job is done or cancelled, durably: whatever of it is still on machines stops."""
+        """Remove a job that is durably done or cancelled, and stop what still runs of it."""
         del self.jobs[job.id]
         self.jobs_changed = True
         self.guarantees.remove_job(job)
--- a/sagecove/coordination/request_router.py
+++ b/sagecove/coordination/request_router.py
@@ -1,4 +1,4 @@
-"""Requests come in: who answers which path."""
+"""Routes incoming requests to the parts of the owner that answer them."""
 
 from __future__ import annotations
 
@@ -12,95 +12,102 @@
 
 
 class RequestRouter:
-    """Routes."""
+    """Routes requests by path and method."""
 
     def __init__(self, owner: Owner) -> None:
         self.owner = owner
 
-    def handle(self, ask: IncomingRequest) -> None:
-        path = ask.path.partition("?")[0]
-        if ask.from_peer:
-            self.owner.peers.handle_request(ask)
+    def handle(self, request: IncomingRequest) -> None:
+        """Answer a request, or hand it to the part that does."""
+        path = request.path.partition("?")[0]
+        if request.from_peer:
+            self.owner.peers.handle_request(request)
         elif path == "/hello":
-            if ask.method != "POST":
-                self.owner.effects.append(Reply(ask.exchange, 405, Refusal("POST only")))
+            if request.method != "POST":
+                self.owner.effects.append(Reply(request.exchange, 405, Refusal("POST only")))
             else:
-                self.owner.workers.handle_report(ask.body, ask.exchange)
+                self.owner.workers.handle_report(request.body, request.exchange)
         elif path == "/ready":
-            self._ready(ask)
+            self._handle_ready(request)
         elif path == "/api/jobs":
-            if ask.method != "POST":
-                self.owner.effects.append(Reply(ask.exchange, 405, Refusal("POST only")))
+            if request.method != "POST":
+                self.owner.effects.append(Reply(request.exchange, 405, Refusal("POST only")))
             else:
-                self.owner.users.submit(ask.body, ask.exchange)
+                self.owner.users.submit(request.body, request.exchange)
         elif path.startswith("/api/jobs/"):
-            job_id, _, rest = path[len("/api/jobs/") :].partition("/")
-            if rest not in ("", "cancel"):
-                self._others(ask)
-            elif ask.method != ("POST" if rest else "GET"):
-                self.owner.effects.append(Reply(ask.exchange, 405, Refusal("wrong method")))
-            elif rest:
-                self.owner.users.cancel(job_id, ask.exchange)
+            job_id, _, action = path[len("/api/jobs/") :].partition("/")
+            if action not in ("", "cancel"):
+                self._handle_other_path(request)
+            elif request.method != ("POST" if action else "GET"):
+                self.owner.effects.append(Reply(request.exchange, 405, Refusal("wrong method")))
+            elif action:
+                self.owner.users.cancel(job_id, request.exchange)
             else:
-                self.owner.users.status(job_id, ask.exchange)
+                self.owner.users.status(job_id, request.exchange)
         elif path == "/cluster" or path.startswith("/explain/"):
-            self._view(path, ask)
+            self._handle_view(path, request)
         else:
-            self._others(ask)
+            self._handle_other_path(request)
 
-    def _others(self, ask: IncomingRequest) -> None:
-        """A path that is none of the core's."""
-        if not self._feature(ask):
-            self.owner.effects.append(Reply(ask.exchange, 404, Refusal("no such path")))
+    def _handle_other_path(self, request: IncomingRequest) -> None:
+        """Offer a path unknown to the core to the features, else answer 404."""
+        if not self._feature_handles(request):
+            self.owner.effects.append(Reply(request.exchange, 404, Refusal("no such path")))
 
-    def _feature(self, ask: IncomingRequest) -> bool:
-        return any(feature.handle_request(ask) for feature in self.owner.features)
+    def _feature_handles(self, request: IncomingRequest) -> bool:
+        return any(feature.handle_request(request) for feature in self.owner.features)
 
-    def _view(self, path: str, ask: IncomingRequest) -> None:
-        """Read-only questions beside PROTOCOL, answered from memory."""
-        # Hardly ever asked, so not loaded before.
+    def _handle_view(self, path: str, request: IncomingRequest) -> None:
+        """Answer the read-only views /cluster and /explain (not part of PROTOCOL) from memory."""
+        # Rarely needed, so imported on demand.
         from sagecove.coordination import explain
 
-        if ask.method != "GET":
-            self.owner.effects.append(Reply(ask.exchange, 405, Refusal("GET only")))
+        if request.method != "GET":
+            self.owner.effects.append(Reply(request.exchange, 405, Refusal("GET only")))
         elif not self.owner.mirror.loaded:
-            self.owner.effects.append(Reply(ask.exchange, 503, Refusal("not ready"), 1.0))
+            self.owner.effects.append(Reply(request.exchange, 503, Refusal("not ready"), 1.0))
         elif path == "/cluster":
-            self.owner.effects.append(Reply(ask.exchange, 200, explain.cluster_view(self.owner)))
+            self.owner.effects.append(
+                Reply(request.exchange, 200, explain.cluster_view(self.owner))
+            )
         elif (job := self.owner.jobs.get(path[len("/explain/") :])) is not None:
             self.owner.effects.append(
-                Reply(ask.exchange, 200, explain.explain_job(self.owner, job))
+                Reply(request.exchange, 200, explain.explain_job(self.owner, job))
             )
-        elif not self._feature(ask):
+        elif not self._feature_handles(request):
             self.owner.effects.append(
                 Reply(
-                    ask.exchange, 404, Refusal("no job under way has this id; ask for its status")
+                    request.exchange,
+                    404,
+                    Refusal("no job under way has this id; ask for its status"),
                 )
             )
 
-    def _ready(self, ask: IncomingRequest) -> None:
-        if ask.method not in ("GET", "HEAD"):
-            self.owner.effects.append(Reply(ask.exchange, 405, Refusal("GET only")))
-        elif self.ready():
-            self.owner.effects.append(Reply(ask.exchange, 200, {"ready": True}))
+    def _handle_ready(self, request: IncomingRequest) -> None:
+        if request.method not in ("GET", "HEAD"):
+            self.owner.effects.append(Reply(request.exchange, 405, Refusal("GET only")))
+        elif self.is_ready():
+            self.owner.effects.append(Reply(request.exchange, 200, {"ready": True}))
         else:
-            self.owner.effects.append(Reply(ask.exchange, 503, Refusal("not ready")))
+            self.owner.effects.append(Reply(request.exchange, 503, Refusal("not ready")))
 
-    def ready(self) -> bool:
-        """Can take requests: or is no worse off than the other controllers."""
+    def is_ready(self) -> bool:
+        """Return whether this controller can take requests, or is no worse off than its peers."""
         if not self.owner.mirror.loaded or not self.owner.machine_types:
             return False
         if self.owner.now - self.owner.sync.synced_at < 3.0:
             return True
-        heard = [hint for at, hint in self.owner.peers.hints.values() if self.owner.now - at < 3.0]
-        if not heard and self.owner.settings.peers:
-            # It stood still, or is alone, perhaps with its workers: others may be served, and users
-            # whose connections it kept were told 503 for as long as that lasted.
+        recent_hints = [
+            hint for at, hint in self.owner.peers.hints.values() if self.owner.now - at < 3.0
+        ]
+        if not recent_hints and self.owner.settings.peers:
+            # The process was paused, or it is cut off, perhaps together with its workers. Peers may
+            # still reach the state service, while users connected to this node would get only 503.
             return False
-        # In an outage of the state service everybody is refused: being taken out of balance would
-        # only delay the return. Refused alone, this node lets the others answer.
-        return not any(hint.connected for hint in heard)
+        # In an outage of the state service all controllers are refused; leaving the load balancer
+        # would only delay the recovery. If this node alone is refused, the others should answer.
+        return not any(hint.connected for hint in recent_hints)
 
-    def retry_hint(self) -> float:
-        """When a refused user should come back."""
+    def retry_after_s(self) -> float:
+        """Return the seconds after which a refused user should retry."""
         return 1.0 if self.owner.sync.connected() else 2.0
--- a/sagecove/coordination/users.py
+++ b/sagecove/coordination/users.py
@@ -1,8 +1,8 @@
-"""Submissions, polls and cancellations.
+"""Answers users' submissions, status polls and cancellations.
 
-`done` and `aborted` never change, so they may be told from memory. Everything else, and every
-404, rests on a read of the state service begun after the request arrived; one read serves all
-requests that wait.
+The final states `done` and `aborted` never change, so they are answered from memory. Any other
+answer, and every 404, requires a read of the state service that began after the request arrived;
+one read serves all waiting requests.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from sagecove.coordination.model import JobRun
 from sagecove.coordination.placement import NoRoomCache, type_allowed
 from sagecove.protocol import state as wire
-from sagecove.protocol import users as u
+from sagecove.protocol import users as user_protocol
 from sagecove.protocol.state import Pair
 from sagecove.storage import taskset
 from sagecove.storage.records import HOLDER, JOB, OVER, JobRecord, OverRecord
@@ -30,102 +30,101 @@
 
 log = logging.getLogger("sagecove.users")
 
-FINALS_KEPT = 20_000
-REFUSE = "refuse:"
+FINAL_STATES_KEPT_COUNT = 20_000
+REFUSAL_PREFIX = "refuse:"
 
 
-def refusal_kind(status: int, why: str) -> str:
-    """A kind of request: a submission that is refused unless its job is known all the same."""
-    return f"{REFUSE}{status}:{why}"
+def refusal_kind(status: int, reason: str) -> str:
+    """Return the kind of a submission that is refused unless its job is already known."""
+    return f"{REFUSAL_PREFIX}{status}:{reason}"
 
 
 class Users:
-    """Answers to users."""
+    """Handles users' requests for jobs."""
 
     def __init__(self, owner: Owner) -> None:
         self.owner = owner
-        # Final states, bounded; what fell out is read again.
+        # Final states (state, number of tasks); bounded, and read again once dropped.
         self.final_states: OrderedDict[str, tuple[str, int]] = OrderedDict()
-        # Requests that wait for a read: (number, kind, job id, exchange); of kind `call` with a
-        # function, which hears whether the read went well, for an exchange. Numbered, for the clock
-        # may stand still between a read that has been sent and a request that comes after it.
+        # Requests that wait for a read: (number, kind, job id, exchange); for kind `call` the last
+        # is a callback that receives the read's success. Numbers give the order, because the clock
+        # may show the same time when a read is sent and when a later request arrives.
         self.waiting_requests: list[tuple[int, str, str, Any]] = []
         self.request_count = 0
-        # Reads of what became of jobs, with who waits for them, and who came since they were sent.
+        # Open reads of final states: requests that wait for them, and requests that came later.
         self.open_reads: dict[str, list[tuple[str, Any]]] = {}
         self.queued_reads: dict[str, list[tuple[str, Any]]] = {}
-        self.submitting: dict[str, list[Any]] = {}
+        self.open_submissions: dict[str, list[Any]] = {}
 
     # -- answers --------------------------------------------------------------------------------
 
-    def reply(self, exchange: Any, status: int, body: Any, retry: float | None = None) -> None:
-        """Answer a request."""
-        self.owner.effects.append(Reply(exchange, status, body, retry))
+    def reply(self, exchange: Any, status: int, body: Any, retry_s: float | None = None) -> None:
+        """Send the answer to a request."""
+        self.owner.effects.append(Reply(exchange, status, body, retry_s))
 
-    def refuse_for_now(self, exchange: Any, why: str, retry: float = 1.0) -> None:
-        """The service can't answer now: say so at once, and when to come back."""
-        self.reply(exchange, 503, u.Refusal(why), retry)
+    def refuse_for_now(self, exchange: Any, reason: str, retry_s: float = 1.0) -> None:
+        """Answer 503 with the time after which to retry."""
+        self.reply(exchange, 503, user_protocol.Refusal(reason), retry_s)
 
     def refuse_state_unavailable(self, exchange: Any) -> None:
-        """The state service does not answer."""
-        retry = self.owner.router.retry_hint()
-        self.refuse_for_now(exchange, "the state service does not answer", retry)
+        """Answer 503 because the state service does not answer."""
+        retry_s = self.owner.router.retry_after_s()
+        self.refuse_for_now(exchange, "the state service does not answer", retry_s)
 
     def remember_final_state(self, job_id: str, state: str, tasks: int, revision: int) -> None:
-        """Remember a final state, durable by a revision. All that users are told of cancelled jobs
-        goes by here."""
-        if state == u.CANCELLED:
+        """Remember a final state that is durable at a revision. Every cancellation passes here
+        before a user is told of it."""
+        if state == user_protocol.CANCELLED:
             self.owner.cancellations.record_confirmed(job_id, revision)
         self.final_states[job_id] = (state, tasks)
         self.final_states.move_to_end(job_id)
-        if len(self.final_states) > FINALS_KEPT:
+        if len(self.final_states) > FINAL_STATES_KEPT_COUNT:
             self.final_states.popitem(last=False)
 
-    def _tell_final(self, kind: str, job_id: str, exchange: Any) -> None:
+    def _reply_final_state(self, kind: str, job_id: str, exchange: Any) -> None:
         state, tasks = self.final_states[job_id]
         if kind == "status":
-            done = tasks if state == u.DONE else 0
-            self.reply(exchange, 200, u.Status(job_id, state, done, 0))
+            done = tasks if state == user_protocol.DONE else 0
+            self.reply(exchange, 200, user_protocol.Status(job_id, state, done, 0))
         else:
-            self.reply(exchange, 200, u.Status(job_id, state))
+            self.reply(exchange, 200, user_protocol.Status(job_id, state))
 
-    def _tell_live(self, kind: str, job: JobRun, exchange: Any) -> None:
+    def _reply_live_state(self, kind: str, job: JobRun, exchange: Any) -> None:
         owner = self.owner
         done = (job.finished | job.finished_unrecorded).bit_count()
         running = job.running_count
         running += owner.peers.running_elsewhere(job.id)
-        state = u.RUNNING if running else u.PENDING
+        state = user_protocol.RUNNING if running else user_protocol.PENDING
         if kind == "status":
-            self.reply(exchange, 200, u.Status(job.id, state, done, running))
+            self.reply(exchange, 200, user_protocol.Status(job.id, state, done, running))
         else:
-            self.reply(exchange, 200, u.Status(job.id, state))
+            self.reply(exchange, 200, user_protocol.Status(job.id, state))
 
     # -- requests -------------------------------------------------------------------------------
 
     def submit(self, body: bytes, exchange: Any) -> None:
-        """POST a job."""
+        """Handle the submission of a job."""
         owner = self.owner
         try:
-            job = u.read_job(body)
+            job = user_protocol.read_job(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-            self.reply(exchange, 400, u.Refusal(str(error)[:300]))
+            self.reply(exchange, 400, user_protocol.Refusal(str(error)[:300]))
             return
-        # An id that a feature has given away was never accepted: its guard is in that transaction.
+        # An id reserved by a feature can't have been accepted: guards are part of the transaction.
         guards = [feature.submission_guard(job.id) for feature in owner.features]
         refusal = next((guard for guard in guards if isinstance(guard, str)), None)
         if refusal is not None:
-            self.reply(exchange, 422, u.Refusal(refusal))
+            self.reply(exchange, 422, user_protocol.Refusal(refusal))
             return
-        # What is known already is told first: whatever would be said of it as a new job, it was
-        # accepted.
+        # Known jobs are answered first: they were accepted, even if they would be refused now.
         if job.id in self.final_states:
-            self._tell_final("submit", job.id, exchange)
+            self._reply_final_state("submit", job.id, exchange)
             return
         if job.id in owner.jobs:
             self.answer_after_read("submit", job.id, exchange)
             return
         if len(body) > owner.settings.params.state.value_kb * 512:
-            # Its record would not fit the state service, beside the sets of its tasks.
+            # Its record, with its task sets, would exceed the state service's value size.
             self.answer_after_read(
                 refusal_kind(400, "the submission is too long"), job.id, exchange
             )
@@ -138,21 +137,21 @@
             return
         reason = self.impossible_reason(job)
         if reason is not None:
-            # A job that was accepted under other circumstances must not be refused now.
+            # It must not be refused if it was accepted earlier, under other conditions.
             self.answer_after_read(refusal_kind(422, reason), job.id, exchange)
             return
-        if job.id in self.submitting:
-            self.submitting[job.id].append(exchange)
+        if job.id in self.open_submissions:
+            self.open_submissions[job.id].append(exchange)
             return
         if len(owner.store.urgent) > 100:
             self.refuse_for_now(exchange, "too many requests at once", 2.0)
             return
-        self._store(
+        self._write_submission(
             job, exchange, [guard for guard in guards if isinstance(guard, SubmissionGuard)]
         )
 
-    def impossible_reason(self, job: u.Job) -> str | None:
-        """Why a job can never run, if it can't."""
+    def impossible_reason(self, job: user_protocol.Job) -> str | None:
+        """Return why a job can never run, or None if it can."""
         owner = self.owner
         team = owner.limits.teams.get(job.team)
         if team is None:
@@ -164,48 +163,50 @@
         ]
         if not fitting:
             return "a task fits no allowed machine type"
-        count = 1 if job.kind == u.ARRAY else job.tasks
+        count = 1 if job.kind == user_protocol.ARRAY else job.tasks
         if count * job.cpus > team.cpus_max + 1e-6 or count * job.gpus > team.gpus_max + 1e-6:
             return f"needs more than the limit of team {job.team}"
-        if job.spread and job.tasks > 1 and job.kind != u.ARRAY:
+        if job.spread and job.tasks > 1 and job.kind != user_protocol.ARRAY:
             zones = {z for t in fitting for z in t.zones if job.zone in (None, z)}
             if job.one_zone or len(zones) < 2:
                 return "its tasks can't be both apart in zones and all in one"
         return None
 
-    def _store(self, spec: u.Job, exchange: Any, guards: list[SubmissionGuard]) -> None:
-        """Write a submission; where it fits this controller's free room, claimed already."""
+    def _write_submission(
+        self, spec: user_protocol.Job, exchange: Any, guards: list[SubmissionGuard]
+    ) -> None:
+        """Write a submission, with a claim if this controller has room for the job."""
         owner = self.owner
         job_id = spec.id
-        self.submitting[job_id] = [exchange]
+        self.open_submissions[job_id] = [exchange]
         record = JobRecord(spec, owner.wall())
-        own = [(JOB + job_id, 0), (OVER + job_id, 0)]
-        more: list[wire.Put | wire.Drop] = []
+        own_conditions = [(JOB + job_id, 0), (OVER + job_id, 0)]
+        guard_changes: list[wire.Put | wire.Drop] = []
         for guard in guards:
-            own += guard.conditions
-            more += guard.changes
-        conditions = list(own)
-        changes: list[wire.Put | wire.Drop] = [wire.Put(JOB + job_id, record), *more]
-        run = JobRun(record, 0)
-        run.first_seen_at = owner.now
-        if run.service:
-            owner.estimates.update_avoided_types(run)
-        claimed = self._claim_at_submission(run)
-        if claimed is not None:
-            changes = [claimed[0], *more]
-            conditions.append(claimed[1])
+            own_conditions += guard.conditions
+            guard_changes += guard.changes
+        conditions = list(own_conditions)
+        changes: list[wire.Put | wire.Drop] = [wire.Put(JOB + job_id, record), *guard_changes]
+        job_run = JobRun(record, 0)
+        job_run.first_seen_at = owner.now
+        if job_run.service:
+            owner.estimates.update_avoided_types(job_run)
+        claim = self._claim_at_submission(job_run)
+        if claim is not None:
+            changes = [claim[0], *guard_changes]
+            conditions.append(claim[1])
 
         def done(result: Result) -> None:
-            if result.outcome is Outcome.CONFLICT and claimed is not None:
-                mine = [key for key, _ in own]
-                if not any(key in mine for key in result.failed):
+            if result.outcome is Outcome.CONFLICT and claim is not None:
+                own_keys = [key for key, _ in own_conditions]
+                if not any(key in own_keys for key in result.failed):
                     put = wire.Put(JOB + job_id, record)
-                    owner.commit(own, [put, *more], stored, urgent=True)
+                    owner.commit(own_conditions, [put, *guard_changes], stored, urgent=True)
                     return
             stored(result)
 
         def stored(result: Result) -> None:
-            waiters = self.submitting.pop(job_id, [])
+            waiters = self.open_submissions.pop(job_id, [])
             if result.outcome is Outcome.DONE:
                 log.info(
                     "accepted job=%s team=%s class=%s tasks=%d",
@@ -215,9 +216,9 @@
                     spec.tasks,
                 )
                 for waiter in waiters[:1]:
-                    self.reply(waiter, 201, u.Status(job_id, u.PENDING))
+                    self.reply(waiter, 201, user_protocol.Status(job_id, user_protocol.PENDING))
                 for waiter in waiters[1:]:
-                    self.reply(waiter, 200, u.Status(job_id, u.PENDING))
+                    self.reply(waiter, 200, user_protocol.Status(job_id, user_protocol.PENDING))
             elif result.outcome is Outcome.CONFLICT:
                 for waiter in waiters:
                     self.answer_after_read("submit", job_id, waiter)
@@ -228,6 +229,7 @@
         owner.commit(conditions, changes, done, urgent=True)
 
     def _claim_at_submission(self, job: JobRun) -> tuple[wire.Put, tuple[str, int]] | None:
+        """Return the record with a claim for this node's shard, and its condition, if it fits."""
         owner = self.owner
         node = owner.settings.node
         shard = owner.held_shards.get(node)
@@ -239,44 +241,46 @@
             if not job.array or owner.now >= m.drain_until
         ]
         promised = owner.shards.promised_room(node)
-        claims = owner.scheduling_pass
-        ground = claims.pass_state
-        ground.no_room = ground.no_room_by_preemption = NoRoomCache()
-        ground.array_candidates = None
-        ground.scan_running_jobs(node)
+        scheduler = owner.scheduling_pass
+        pass_state = scheduler.pass_state
+        pass_state.no_room = pass_state.no_room_by_preemption = NoRoomCache()
+        pass_state.array_candidates = None
+        pass_state.scan_running_jobs(node)
         if owner.images.count_left_to_peers(job, machines, promised, job.spec.tasks):
             return None
-        count = claims.claimer.count_fitting(job, node, machines, promised)
+        count = scheduler.claimer.count_fitting(job, node, machines, promised)
         if count < job.spec.tasks and job.priority >= 2:
-            # Users wait for these: room is made at once where it may be.
-            able = owner.limits.claimable(node, job.spec, job.spec.tasks)
-            if able > count:
-                count += claims.preemptor.count_fitting_by_preemption(job, able - count, promised)
-                ground.preempt_after = 0.0
+            # Users wait for these jobs, so room is made by preemption at once.
+            claimable_count = owner.limits.claimable(node, job.spec, job.spec.tasks)
+            if claimable_count > count:
+                count += scheduler.preemptor.count_fitting_by_preemption(
+                    job, claimable_count - count, promised
+                )
+                pass_state.preempt_after = 0.0
         if not count or (job.claimed_whole and count < job.spec.tasks):
             return None
-        count = claims.claimer.limit_to_record_size(job, count)
+        count = scheduler.claimer.limit_to_record_size(job, count)
         bits = taskset.lowest(job.all_tasks, count)
-        change = claims.claimer.claim_write(shard, job, bits)
+        change = scheduler.claimer.claim_write(shard, job, bits)
         return None if change is None else (change, (HOLDER + node, shard.term))
 
     def status(self, job_id: str, exchange: Any) -> None:
-        """GET a job."""
+        """Handle a status request for a job."""
         self.answer_after_read("status", job_id, exchange)
 
     def cancel(self, job_id: str, exchange: Any) -> None:
-        """Cancel a job."""
+        """Handle the cancellation of a job."""
         self.answer_after_read("cancel", job_id, exchange)
 
     # -- reads ----------------------------------------------------------------------------------
 
     def answer_after_read(self, kind: str, job_id: str, exchange: Any) -> None:
-        """Answer from memory if the state is final, else after a read begun from now on."""
+        """Answer from memory if the state is final, else after a read that begins from now on."""
         owner = self.owner
-        if not u.JOB_ID.match(job_id):
-            self.reply(exchange, 404, u.Refusal("no such job"))
+        if not user_protocol.JOB_ID.match(job_id):
+            self.reply(exchange, 404, user_protocol.Refusal("no such job"))
         elif job_id in self.final_states:
-            self._tell_final(kind, job_id, exchange)
+            self._reply_final_state(kind, job_id, exchange)
         elif not owner.sync.connected():
             self.refuse_state_unavailable(exchange)
         elif len(self.waiting_requests) > 2000:
@@ -286,53 +290,54 @@
             self.waiting_requests.append((self.request_count, kind, job_id, exchange))
             owner.sync.request_sync()
 
-    def call_after_read(self, call: Callable[[bool], None]) -> None:
-        """Call back after a read begun from now on; with False if it can't be had."""
+    def call_after_read(self, callback: Callable[[bool], None]) -> None:
+        """Call back after a read that begins from now on, with False if the read fails."""
         owner = self.owner
         if not owner.sync.connected() or len(self.waiting_requests) > 2000:
-            call(False)
+            callback(False)
             return
         self.request_count += 1
-        self.waiting_requests.append((self.request_count, "call", "", call))
+        self.waiting_requests.append((self.request_count, "call", "", callback))
         owner.sync.request_sync()
 
-    def read_done(self, asked: int, good: bool) -> None:
-        """A read has ended that was sent after request number `asked` had come in."""
+    def read_done(self, number: int, succeeded: bool) -> None:
+        """Answer requests up to `number` after a read that began once they had arrived."""
         owner = self.owner
-        ready = [entry for entry in self.waiting_requests if entry[0] <= asked or not good]
-        if not ready:
+        due = [entry for entry in self.waiting_requests if entry[0] <= number or not succeeded]
+        if not due:
             return
-        self.waiting_requests = [e for e in self.waiting_requests if e[0] > asked] if good else []
-        for _, kind, job_id, exchange in ready:
+        self.waiting_requests = (
+            [e for e in self.waiting_requests if e[0] > number] if succeeded else []
+        )
+        for _, kind, job_id, exchange in due:
             if kind == "call":
-                exchange(good)
-            elif not good:
+                exchange(succeeded)
+            elif not succeeded:
                 self.refuse_state_unavailable(exchange)
             elif (job := owner.jobs.get(job_id)) is not None:
                 if kind == "cancel":
                     self._cancel(job, exchange)
                 else:
-                    self._tell_live(kind, job, exchange)
+                    self._reply_live_state(kind, job, exchange)
             elif JOB + job_id in owner.sync.unreadable_job_keys:
                 if kind == "cancel":
                     self.refuse_for_now(exchange, "the job's record can't be read here", 5.0)
                 else:
-                    self.reply(exchange, 200, u.Status(job_id, u.PENDING))
+                    self.reply(exchange, 200, user_protocol.Status(job_id, user_protocol.PENDING))
             elif job_id in self.final_states:
-                self._tell_final(kind, job_id, exchange)
+                self._reply_final_state(kind, job_id, exchange)
             elif not any(f.answer_unknown_job(kind, job_id, exchange) for f in owner.features):
                 self.read_final_state(kind, job_id, exchange)
 
     def read_final_state(self, kind: str, job_id: str, exchange: Any) -> None:
-        """Not live: over, or never accepted."""
+        """Answer for a job that is not live: it is over or was never accepted."""
         if job_id in self.open_reads:
-            # The state service may have answered that read already, and the job may have been
-            # accepted, and be over, since: one that begins only now says.
+            # The open read may be executed already, and the job accepted and finished since then.
             self.queued_reads.setdefault(job_id, []).append((kind, exchange))
         else:
-            self._read_over(job_id, [(kind, exchange)])
+            self._read_final_record(job_id, [(kind, exchange)])
 
-    def _read_over(self, job_id: str, waiters: list[tuple[str, Any]]) -> None:
+    def _read_final_record(self, job_id: str, waiters: list[tuple[str, Any]]) -> None:
         owner = self.owner
         self.open_reads[job_id] = waiters
 
@@ -341,30 +346,30 @@
             pair = decode(body, Pair) if status == 200 else None
             if pair is not None:
                 try:
-                    over = msgspec.convert(pair.value, OverRecord)
+                    record = msgspec.convert(pair.value, OverRecord)
                 except msgspec.ValidationError:
                     status = None
                 else:
-                    self.remember_final_state(job_id, over.state, over.tasks, pair.version)
+                    self.remember_final_state(job_id, record.state, record.tasks, pair.version)
             for kind, exchange in waiters:
                 if job_id in self.final_states:
-                    self._tell_final(kind, job_id, exchange)
+                    self._reply_final_state(kind, job_id, exchange)
                 elif status != 404:
                     self.refuse_for_now(exchange, "the state service does not answer")
-                elif kind.startswith(REFUSE):
-                    code, _, why = kind.removeprefix(REFUSE).partition(":")
-                    log.info("refused job=%s why=%s", job_id, why)
-                    self.reply(exchange, int(code), u.Refusal(why))
+                elif kind.startswith(REFUSAL_PREFIX):
+                    code, _, reason = kind.removeprefix(REFUSAL_PREFIX).partition(":")
+                    log.info("refused job=%s why=%s", job_id, reason)
+                    self.reply(exchange, int(code), user_protocol.Refusal(reason))
                 elif kind == "submit":
                     self.refuse_for_now(exchange, "try again")
                 else:
-                    self.reply(exchange, 404, u.Refusal("no such job"))
-            later = self.queued_reads.pop(job_id, [])
+                    self.reply(exchange, 404, user_protocol.Refusal("no such job"))
+            queued = self.queued_reads.pop(job_id, [])
             if job_id in self.final_states:
-                for kind, exchange in later:
-                    self._tell_final(kind, job_id, exchange)
-            elif later:
-                self._read_over(job_id, later)
+                for kind, exchange in queued:
+                    self._reply_final_state(kind, job_id, exchange)
+            elif queued:
+                self._read_final_record(job_id, queued)
 
         owner.store.read(owner.now, OVER + job_id, done)
 
@@ -373,21 +378,21 @@
         if job.durable_state is not None:
             job.durable_state.cancel(job, exchange)
             return
-        # Not on the record's revision: claims and results move that on all the time, and a job with
-        # many tasks had no end of conflicts. It was accepted and is not over: that is all it takes,
-        # whenever it is carried out.
+        # Not conditional on the record's revision: claims and results change it all the time, so
+        # cancelling a job with many tasks conflicted without end. It is enough that the job was
+        # accepted and is not over when the transaction is executed.
         changes: list[wire.Put | wire.Drop] = [
             wire.Drop(JOB + job.id),
-            wire.Put(OVER + job.id, OverRecord(u.CANCELLED, job.spec.tasks)),
+            wire.Put(OVER + job.id, OverRecord(user_protocol.CANCELLED, job.spec.tasks)),
         ]
 
         def done(result: Result) -> None:
             if result.outcome is Outcome.DONE:
                 log.info("cancelled job=%s", job.id)
                 owner.peers.announce_cancellation(job.id)
-                self.reply(exchange, 200, u.Status(job.id, u.CANCELLED))
+                self.reply(exchange, 200, user_protocol.Status(job.id, user_protocol.CANCELLED))
             elif result.outcome is Outcome.CONFLICT:
-                # It is over.
+                # The job is over.
                 self.answer_after_read("cancel", job.id, exchange)
             else:
                 self.refuse_state_unavailable(exchange)
