--- a/sagecove/coordination/maintenance.py
+++ b/sagecove/coordination/maintenance.py
@@ -1,4 +1,4 @@
-"""Machines that nobody needs, and telling why jobs wait."""
+"""Periodic work: returns idle machines, and logs why jobs wait for long."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 log = logging.getLogger("sagecove.upkeep")
 
-# A job that waits this long is told of in the log, and again after as long.
+# Why a job waits is logged each time it has waited for this long.
 LONG_WAIT_S = 20.0
 
 
 class MachineReturns(Protocol):
-    """Machines that are no longer wanted."""
+    """Returns machines to the provisioner."""
 
-    def mark_for_return(self, machine: Machine, why: str) -> None:
-        """Hand a machine to the provisioner for its return."""
+    def mark_for_return(self, machine: Machine, reason: str) -> None:
+        """Hand a machine to the provisioner for deletion."""
 
 
 class LimitQueries(Protocol):
-    """Teams' limits."""
+    """Answers questions about team limits."""
 
     def claimable_anywhere(self, spec: Job, wanted: int) -> int:
-        """How many more tasks of this kind a team's limit has room for."""
+        """Return how many more tasks of this kind the team's limit allows."""
 
 
 class Maintenance:
-    """Idle machines and long waits."""
+    """Returns idle machines and logs long waits."""
 
     def __init__(
         self,
@@ -53,13 +53,12 @@
         self.estimates = estimates
         self.backlog = backlog
         self.limits = limits
-        # Why a job waits.
-        self.why = explain_wait
+        self.explain_wait = explain_wait
         self.next_idle_check_at = 0.0
         self.last_wait_log_at = 0.0
 
     def return_idle(self, now: float) -> None:
-        """Return machines that have been idle for long, but keep a little room for arrivals."""
+        """Return machines that have been idle for long, except some room kept for new jobs."""
         if now < self.next_idle_check_at:
             return
         self.next_idle_check_at = now + 4 * TICK_S
@@ -78,22 +77,22 @@
                 kind = group[0].machine_type
                 assert kind is not None
                 idle_limit_s = self._idle_limit_s(kind)
-                # Kept whether services came or not, a machine of each shard stayed for good.
+                # Without this condition each shard would keep a machine for services for good.
                 services_likely = not group[0].record.spot and self.estimates.service_expected(
                     1.5 * idle_limit_s
                 )
                 keep = self._needed_for_services(kind, machines) if services_likely else 0
                 keep = max(keep, self._needed_for_retries(group[0]))
-                # Those that are up wait for as long as the others of their gang may yet come up.
-                # Else, of eight machines, those that were there first had been given back when the
-                # last one came, and were rented again: a gang waited so to the end of its day.
+                # Machines for a gang wait for as long as its other machines may take to boot.
+                # Otherwise the first of eight machines had been returned when the last one came up,
+                # and were rented again; a gang waited like this until the end of its test day.
                 gangs = self._needed_for_gangs(name, group[0])
                 boot_timeout_s = self.estimates.boot_timeout_s(kind) if gangs else 0.0
                 for rank, machine in enumerate(group[keep:]):
                     if rank < gangs and now - machine.idle_since <= boot_timeout_s:
                         continue
                     rented_for_s = self.context.wall() - machine.record.at
-                    # A machine that is deleted costs 60 s at least: it may as well wait as long.
+                    # The cloud charges at least 60 s per machine, so it is kept almost that long.
                     may_drain = now < machine.drain_until and now - machine.idle_since > 2.0
                     if (
                         may_drain or now - machine.idle_since > idle_limit_s
@@ -101,8 +100,8 @@
                         self.workers.mark_for_return(machine, "idle")
 
     def _needed_for_retries(self, machine: Machine) -> int:
-        """Machines like this one that the next try of a job takes which fails everywhere: none are
-        rented for it, so that without one it would never be tried again."""
+        """Return how many machines like this one the next try of a job that fails everywhere takes.
+        None are rented for such jobs, so without a kept machine they would never be retried."""
         kind = machine.machine_type
         assert kind is not None
         most_needed = 0
@@ -117,8 +116,8 @@
         return most_needed
 
     def _needed_for_gangs(self, shard: str, machine: Machine) -> int:
-        """Machines like this one that gangs of whole machines take which wait for room in its
-        shard."""
+        """Return how many machines like this one are needed by gangs of whole machines that wait
+        for room in the shard."""
         kind = machine.machine_type
         assert kind is not None
         count = 0
@@ -141,8 +140,8 @@
         return count
 
     def _idle_limit_s(self, kind: MachineType) -> float:
-        """How long a machine may idle: longer where jobs come that need one of its own, since
-        those would have to wait for a boot."""
+        """Return how long a machine may idle: longer if jobs arrive that need a whole machine of
+        this type, since they would have to wait for a boot."""
         idle_limit_s = max(15.0, 0.8 * kind.boot_s)
         arrivals = self.estimates.large_job_arrivals.get(kind.name)
         if arrivals and len(arrivals) > 1:
@@ -151,7 +150,8 @@
         return idle_limit_s
 
     def _needed_for_services(self, kind: MachineType, machines: list[Machine]) -> int:
-        """Idle machines a shard keeps for services to come: none where others can make room."""
+        """Return how many idle machines a shard keeps for new services: none if preemption can make
+        room."""
         if kind.gpus > 0:
             return 0
         preemptible_cpus = 0.0
@@ -168,7 +168,7 @@
         return 0 if preemptible_cpus >= kind.cpus else 1
 
     def log_long_waits(self, now: float) -> None:
-        """Log why jobs wait that have waited for long: the oldest few at a time."""
+        """Log why jobs have been waiting for long, a few at a time, the longest unlogged first."""
         if now < self.last_wait_log_at + 5.0:
             return
         self.last_wait_log_at = now
@@ -179,5 +179,5 @@
         ]
         for job in sorted(long_waiting, key=lambda j: j.wait_logged_at)[:3]:
             job.wait_logged_at = now
-            why = "; ".join(self.why(job))
-            log.info("waits job=%s team=%s why=%s", job.id, job.spec.team, why)
+            reasons = "; ".join(self.explain_wait(job))
+            log.info("waits job=%s team=%s why=%s", job.id, job.spec.team, reasons)
--- a/sagecove/coordination/provisioner.py
+++ b/sagecove/coordination/provisioner.py
@@ -1,7 +1,7 @@
-"""The provisioner: one leased role that makes the cloud calls.
+"""The provisioner: a leased role, held by one controller, that rents and deletes cloud machines.
 
-It works from what the state service says (jobs, claims, machines, rentals); peers' hints about
-room and need only make its choices better.
+It decides from the records in the state service (jobs, claims, machines, rentals). Peers' hints
+about room and shortages only improve its choices.
 """
 
 from __future__ import annotations
@@ -42,21 +42,21 @@
 
 log = logging.getLogger("sagecove.provision")
 
-# Resting jobs that are alike and are looked at one by one for what is to be rented.
+# Of a group of alike resting jobs, at most this many are considered one by one for rentals.
 GROUP_JOBS_MAX_COUNT = 200
 
 ResponseCallback = Callable[[int | None, bytes], None]
 
-# Machines of a list that are taken in: far beyond any fleet, against a list without end.
+# Bound of the machines read from the cloud's list, far beyond any fleet, against an endless list.
 LISTED_MACHINES_MAX_COUNT = 50_000
 
-# Arrays are not rented for at more than this many times their cheapest price.
+# Machines for arrays cost at most this many times the lowest price for their tasks.
 ARRAY_PRICE_MAX_RATIO = 20.0
 
 
 @dataclasses.dataclass(slots=True)
 class ExpectedMachine:
-    """A machine that has not reported yet, or is about to be rented, and its room to be filled."""
+    """A machine that has not reported yet or is about to be rented, and the room planned on it."""
 
     machine_type: MachineType
     zone: str
@@ -65,40 +65,40 @@
     cpus: float = 0.0
     gpus: float = 0.0
     memory_gb: float = 0.0
-    # Up already, and free as far as gangs go.
+    # The machine is up already, and its room counts for gangs only.
     gangs_only: bool = False
 
     @classmethod
     def from_machine(cls, machine: Machine) -> ExpectedMachine:
-        """A machine with a record."""
+        """Create the entry of a machine that has a record."""
         assert machine.machine_type is not None
         record = machine.record
         return cls(machine.machine_type, record.zone, record.spot, record.shard)
 
     def room_for(self, spec: Job) -> int:
-        """How many more tasks fit."""
+        """Return how many more tasks fit."""
         kind = self.machine_type
         return tasks_fitting(
             spec, (kind.cpus - self.cpus, kind.gpus - self.gpus, kind.memory_gb - self.memory_gb)
         )
 
     def count_tasks(self, spec: Job, count: int) -> None:
-        """Count tasks in."""
+        """Reserve room for tasks."""
         self.cpus += count * spec.cpus
         self.gpus += count * spec.gpus
         self.memory_gb += count * spec.memory_gb
 
 
 class ExpectedFleet:
-    """Machines to come, grouped by what they are, so that a job looks at a group once."""
+    """Expected machines, grouped by type, place and price model: a job checks each group once."""
 
     def __init__(self, smallest_task_cpus: float) -> None:
-        # Machines with less room than any task takes are out of the search.
-        self.least_cpus = smallest_task_cpus
+        # Machines with fewer free CPUs than the smallest task takes are not searched.
+        self.smallest_task_cpus = smallest_task_cpus
         self.groups: dict[tuple[str, str, bool, str, bool], list[ExpectedMachine]] = {}
 
     def add(self, machine: ExpectedMachine) -> None:
-        """One more machine."""
+        """Add a machine."""
         key = (
             machine.machine_type.name,
             machine.zone,
@@ -109,13 +109,13 @@
         self.groups.setdefault(key, []).append(machine)
 
     def zone_with_most(self, spec: Job, shard: str | None) -> str | None:
-        """Where a job whose tasks must be in one zone has most room to come, if anywhere."""
+        """Return the zone with the most expected room for a one-zone job, if there is any."""
         room: dict[str, int] = {}
-        for (_, zone, spot, home_shard, gangs), group in self.groups.items():
+        for (_, zone, spot, shard_name, gangs_only), group in self.groups.items():
             if (
                 group
-                and (spec.kind == GANG or not gangs)
-                and (shard is None or home_shard in ("", shard))
+                and (spec.kind == GANG or not gangs_only)
+                and (shard is None or shard_name in ("", shard))
                 and (spec.spot or not spot)
                 and type_allowed(spec, group[0].machine_type)
             ):
@@ -131,15 +131,15 @@
         zones: dict[str, int],
         required_zone: str | None = None,
     ) -> int:
-        """Give tasks room (in one zone `only`); how many got it. `zones` counts the job's tasks by
-        zone."""
+        """Reserve room for tasks, in `required_zone` if given; return for how many it was found.
+        `zones` counts the job's tasks by zone and is updated."""
         placed = 0
         zone_limit = (spec.tasks + 1) // 2 if spec.spread else spec.tasks
-        for (_, zone, spot, home_shard, gangs), group in self.groups.items():
+        for (_, zone, spot, shard_name, gangs_only), group in self.groups.items():
             if (
                 not group
-                or (gangs and spec.kind != GANG)
-                or (shard is not None and home_shard not in ("", shard))
+                or (gangs_only and spec.kind != GANG)
+                or (shard is not None and shard_name not in ("", shard))
                 or (spot and not spec.spot)
                 or (required_zone or spec.zone) not in (None, zone)
                 or not type_allowed(spec, group[0].machine_type)
@@ -155,9 +155,13 @@
                     machine.count_tasks(spec, more)
                     placed += more
                     zones[zone] = zones.get(zone, 0) + more
-                    filled = filled or machine.machine_type.cpus - machine.cpus < self.least_cpus
+                    filled = (
+                        filled or machine.machine_type.cpus - machine.cpus < self.smallest_task_cpus
+                    )
             if filled:
-                group[:] = [m for m in group if m.machine_type.cpus - m.cpus >= self.least_cpus]
+                group[:] = [
+                    m for m in group if m.machine_type.cpus - m.cpus >= self.smallest_task_cpus
+                ]
             if placed >= count:
                 break
         return placed
@@ -175,21 +179,21 @@
         self.next_rent_check_at = 0.0
         self.open_operations: set[str] = set()
         self.rental_count = 0
-        # (type, zone, spot) that had no capacity, until when it is not asked again.
+        # When (type, zone, spot) combinations without capacity may be tried again.
         self.no_capacity_until: dict[tuple[str, str, bool], float] = {}
         self.listed_machines: list[cloud_protocol.Listed] = []
         # Deleted machines whose records are being removed.
         self.removing_records: set[str] = set()
         self.term = 0
-        # Rentals that were refused, and when the removal of their record may be tried again.
+        # Refused rentals, and when removing their record may be tried again.
         self.refused_rentals: dict[str, float] = {}
-        # Machines whose holders are asked to let them run empty.
+        # Machines whose holders are asked to drain them.
         self.machines_to_drain: list[str] = []
-        # By job: how many like it are not looked at one by one, and their tasks.
+        # By job: the number of jobs like it that are not considered one by one, and their tasks.
         self.group_remainders: dict[str, tuple[int, int]] = {}
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Start the cloud calls and writes that are due."""
         owner = self.owner
         term = owner.leadership.provisioner_term
         if not term or not owner.leadership.may_act(now):
@@ -222,7 +226,10 @@
     def _call_cloud(
         self, name: str, method: str, path: str, body: object, done: ResponseCallback
     ) -> bool:
-        """A cloud call within the budget; at most one of a name at a time."""
+        """Call the cloud within the rate budget, with at most one open call per name.
+
+        Return whether the call was made.
+        """
         owner = self.owner
         if name in self.open_operations or self.budget.delay(owner.now) > 0:
             return False
@@ -236,7 +243,7 @@
         owner.call("cloud", method, path, body, 8.0, answered)
         return True
 
-    # -- types ----------------------------------------------------------------------------------
+    # -- machine types --------------------------------------------------------------------------
 
     def _types_received(self, status: int | None, body: bytes) -> None:
         owner = self.owner
@@ -247,7 +254,7 @@
         record = TypesRecord(answer.types)
         self._commit([wire.Put(TYPES, record)], [], lambda _: None)
 
-    # -- the list -------------------------------------------------------------------------------
+    # -- list of machines -----------------------------------------------------------------------
 
     def _request_page(self, after: str) -> None:
         start = f"from={after}&" if after else ""
@@ -286,7 +293,7 @@
         self.listed_machines = []
 
     def _mark_for_deletion(self, name: str, record: MachineRecord, stamp: int, why: str) -> None:
-        """Mark a machine that stopped, or never started, for deletion."""
+        """Mark a machine that failed or never started for deletion."""
         log.info("machine to be deleted machine=%s why=%s", name, why)
         new = MachineRecord(
             record.type, record.zone, record.spot, record.shard, record.addr, record.at, why
@@ -294,7 +301,7 @@
         self._commit([wire.Put(MACHINE + name, new)], [(MACHINE + name, stamp)], lambda _: None)
 
     def _adopt_unexpected(self, machine: cloud_protocol.Listed, sizes: dict[str, int]) -> None:
-        """A machine nobody has a record of: from a lost or late rental. Use it."""
+        """Add a record for a listed machine without one, left by a lost or late rental answer."""
         owner = self.owner
         deleted_at = owner.workers.deleted_at.get(machine.name)
         list_lag_s = owner.settings.params.cloud.list_lag_s
@@ -317,12 +324,12 @@
         key = MACHINE + machine.name
         self._commit([wire.Put(key, record)], [(key, 0)], lambda _: None)
 
-    # -- returning ------------------------------------------------------------------------------
+    # -- deletion -------------------------------------------------------------------------------
 
     def _delete_leaving(self, now: float) -> None:
         owner = self.owner
-        # While the records of deleted machines wait for their removal, deleting them again would
-        # queue that again, at every tick: on a bench day this filled the queue of transactions, and
+        # Machines whose records are being removed are skipped. Deleting them again at every tick
+        # queued the removal again each time; in a benchmark this filled the transaction queue, and
         # no claim went through for a minute.
         names = [name for name in owner.inventory.leaving if name not in self.removing_records]
         if not names or "delete" in self.open_operations:
@@ -350,7 +357,7 @@
         self._call_cloud("delete", "POST", "/machines/delete", cloud_protocol.Names(names), done)
 
     def shard_of_rental(self, kind: str, zone: str, spot: bool) -> str | None:
-        """The shard that machines of a rental without a recorded answer are meant for."""
+        """Return the shard that an unanswered rental of this kind is meant for, if any."""
         for key, item in self.owner.rentals.items():
             record: RentalRecord = item.value
             if (record.type, record.zone, record.spot) == (kind, zone, spot):
@@ -365,16 +372,16 @@
 
         return done
 
-    # -- renting --------------------------------------------------------------------------------
+    # -- rental ---------------------------------------------------------------------------------
 
     def _shard_sizes(self) -> dict[str, int]:
-        """Machines per shard, of the shards that have a holder."""
+        """Return the number of machines of each shard that has a holder."""
         owner = self.owner
         up = [n for n in owner.settings.nodes if HOLDER + n in owner.mirror.items]
         return {n: len(owner.machines_by_shard.get(n, {})) for n in up or [owner.settings.node]}
 
     def _assign_shards(self, shard: str, count: int) -> list[str]:
-        """Shards for rented machines: the one they were rented for, else those with the fewest."""
+        """Return shards for rented machines: the one they are rented for, else the smallest."""
         if shard in self.owner.settings.nodes:
             return [shard] * count
         counts = self._shard_sizes()
@@ -386,7 +393,7 @@
         return home_shards
 
     def rental_options(self, job: JobRun, now: float) -> list[tuple[float, MachineType, str, bool]]:
-        """What could be rented for a task of this job, cheapest per task first."""
+        """Return (cost per task, type, zone, spot) of a job's possible rentals, cheapest first."""
         out = []
         spec = job.spec
         left = max(1, job.unfinished.bit_count())
@@ -403,13 +410,13 @@
                     if self.no_capacity_until.get((kind.name, zone, spot), 0.0) > now:
                         continue
                     price = hourly_price(kind, spot)
-                    # Late work costs a multiple of its cheapest price; beyond that, better late.
+                    # Late work costs a multiple of its lowest price; beyond that, late is cheaper.
                     if (
                         job.array
                         and price / tasks_per_machine > ARRAY_PRICE_MAX_RATIO * lowest_price
                     ):
                         continue
-                    # Spot machines may be taken: count some of the work as lost.
+                    # Spot machines may be reclaimed, so some of the work counts as lost.
                     cost = price * (1.15 if spot else 1.0) / min(tasks_per_machine, left)
                     out.append((cost + self.owner.random.random() * 1e-6, kind, zone, spot))
         out.sort(key=lambda o: o[0])
@@ -420,18 +427,18 @@
         return max(1, tasks_fitting(spec, (kind.cpus, kind.gpus, kind.memory_gb)))
 
     def _lowest_task_price(self, spec: Job, kind: MachineType) -> float:
-        """Lowest price of a task on a full machine of a type."""
+        """Return the lowest price of a task on a full machine of a type."""
         if not type_allowed(spec, kind):
             return float("inf")
         return hourly_price(kind, spec.spot) / self._tasks_per_machine(spec, kind)
 
     def _rent_missing_machines(self, now: float) -> None:
-        """Rent for tasks that nobody has room for, beyond what is booting already."""
+        """Rent machines for tasks without room, beyond what is booting already."""
         owner = self.owner
         if owner.rentals:
             return
-        # Machines would not help jobs that fail everywhere. Of many that are alike the first are
-        # looked at one by one, and the others' work is added to the last of these.
+        # Machines would not help jobs that fail everywhere. Of a large group of alike jobs, the
+        # first are considered one by one, and the work of the rest is added to the last of these.
         jobs: list[JobRun] = []
         failing: list[JobRun] = []
         self.group_remainders = {}
@@ -444,10 +451,10 @@
                 failing.append(job)
         for group in owner.backlog.groups.values():
             members = [j for j in group.jobs.values() if not owner.failures.fails_everywhere(j)]
-            most = GROUP_JOBS_MAX_COUNT if group.any_job().durable_state is None else 1
-            if len(members) > most:
-                rest = members[most:]
-                members = members[:most]
+            max_count = GROUP_JOBS_MAX_COUNT if group.any_job().durable_state is None else 1
+            if len(members) > max_count:
+                rest = members[max_count:]
+                members = members[:max_count]
                 self.group_remainders[members[-1].id] = (
                     len(rest),
                     sum(j.unclaimed.bit_count() for j in rest),
@@ -456,12 +463,12 @@
         jobs.sort(key=precedence)
         expected = ExpectedFleet(min((j.spec.cpus for j in jobs), default=0.0))
         usable: list[Machine] = []
-        for machine, arrival in owner.peers.boot_statuses():
+        for machine, boot_status in owner.peers.boot_statuses():
             if machine.machine_type is None or machine.record.leaving:
                 continue
-            if arrival == "coming":
+            if boot_status == "coming":
                 expected.add(ExpectedMachine.from_machine(machine))
-            if arrival != "overdue" and not machine.faulty:
+            if boot_status != "overdue" and not machine.faulty:
                 usable.append(machine)
         rentals_needed: dict[tuple[str, str, bool, str], int] = {}
         home_shards = self._gang_home_shards(jobs, expected)
@@ -472,16 +479,18 @@
                     self._place_or_rent(job, count, home_shard, expected, rentals_needed, now)
         self._rent_for_arrays([j for j in jobs if j.array], usable, expected, rentals_needed, now)
         for job in failing:
-            # Nothing more is rented for what fails everywhere, but its next try needs a machine.
+            # Jobs that fail everywhere get one machine at most, for their next try.
             if now >= job.hold_until and not any(machine_allowed(job.spec, m) for m in usable):
                 self._place_or_rent(job, 1, None, expected, rentals_needed, now)
         for (name, zone, spot, shard), count in rentals_needed.items():
             self.write_rental(name, zone, spot, min(count, cloud_protocol.RENT_MOST), shard)
 
     def _gang_home_shards(self, jobs: list[JobRun], expected: ExpectedFleet) -> dict[str, str]:
-        """Where gangs of whole machines are served: a gang must fit one shard, so what is rented
-        for one goes to the shard that has most of such machines. Those that no claim there needs
-        are free for the next gang, and are counted as room to come."""
+        """Return the shards that serve gangs of whole machines, by job.
+
+        A gang must fit one shard, so its rentals go to the shard with the most suitable machines.
+        Machines there that no claim needs are free for the next gang and added to `expected`.
+        """
         owner = self.owner
         home_shards: dict[str, str] = {}
         free: dict[str, set[str]] = {}
@@ -499,9 +508,9 @@
                     for m in owner.machines_by_shard.get(home_shard, {}).values()
                     if not m.record.leaving and not m.faulty and owner.peers.boot_status(m) == "up"
                 }
-            # Which ones the claimed tasks are on only the holder knows: any will do here.
-            mine = [n for n in free[home_shard] if machine_allowed(job.spec, owner.machines[n])]
-            for name in sorted(mine)[: max(0, claimed)]:
+            # Only the holder knows which machines run the claimed tasks; any will do here.
+            suitable = [n for n in free[home_shard] if machine_allowed(job.spec, owner.machines[n])]
+            for name in sorted(suitable)[: max(0, claimed)]:
                 free[home_shard].discard(name)
         waiting = [j for j in jobs if j.id in home_shards and j.unclaimed]
         for names in free.values():
@@ -509,13 +518,13 @@
                 machine = owner.machines[name]
                 if any(machine_allowed(j.spec, machine) for j in waiting):
                     room = ExpectedMachine.from_machine(machine)
-                    # For gangs alone: other work may well have taken its part.
+                    # For gangs only, because other work may have taken part of the room.
                     room.gangs_only = True
                     expected.add(room)
         return home_shards
 
     def _tasks_without_room(self, job: JobRun, now: float) -> list[tuple[str | None, int]]:
-        """Tasks without a place: those nobody claims, and those whose shard lacks the room."""
+        """Return (shard, count) of unclaimed tasks, and of claimed tasks whose shard lacks room."""
         out: list[tuple[str | None, int]] = []
         shortage = self.owner.peers.room_shortages.get(job.id)
         if shortage is not None and now - shortage[2] < 4.0:
@@ -534,20 +543,20 @@
         now: float,
         highest_price_class: int = 99,
     ) -> int:
-        """Find room for tasks on machines to come, else on machines to be rented that are no
-        dearer than a class; how many found none."""
+        """Find room for tasks on expected machines, else on machines to be rented up to a price
+        class; return how many tasks found none."""
         spec = job.spec
         zones = tasks_by_zone(job)
         zone_limit = (spec.tasks + 1) // 2 if spec.spread else spec.tasks
-        # What is rented for a gang that must be in one zone goes where the rest of it is. Replacing
-        # one of its machines in another zone helped nobody.
+        # Rentals for a gang that must be in one zone go to the zone of its other tasks: a
+        # replacement in another zone is useless to it.
         required_zone = None
         if spec.one_zone and spec.zone is None and spec.tasks > 1:
             required_zone = next(iter(zones), None) or expected.zone_with_most(spec, shard)
         count -= expected.place(spec, count, shard, zones, required_zone)
         base = self.owner.inventory.lowest_cpu_price
         options = self.rental_options(job, now) if count > 0 else []
-        # Where there is no more to be had, all of it has to go elsewhere, as for a new one.
+        # If that zone has no capacity, the whole gang has to go elsewhere, as a new one would.
         options = [o for o in options if required_zone in (None, o[2])] or options
         options = [o for o in options if price_class(o[1], o[3], base) <= highest_price_class]
         while count > 0:
@@ -560,14 +569,14 @@
             found = ExpectedMachine(kind, zone, spot, shard or "")
             more = min(found.room_for(spec), count, zone_limit - zones.get(zone, 0))
             found.count_tasks(spec, more)
-            if kind.cpus - found.cpus >= expected.least_cpus:
+            if kind.cpus - found.cpus >= expected.smallest_task_cpus:
                 expected.add(found)
             count -= more
             zones[zone] = zones.get(zone, 0) + more
         return count
 
     def _is_cheap(self, kind: MachineType) -> bool:
-        """Machines of a type are among the cheap, at least as spot machines."""
+        """Return whether machines of a type are cheap, at least as spot machines."""
         return price_class(kind, True, self.owner.inventory.lowest_cpu_price) <= 1
 
     def _rent_for_arrays(
@@ -578,10 +587,10 @@
         rentals_needed: dict[tuple[str, str, bool, str], int],
         now: float,
     ) -> None:
-        """Tasks of arrays may wait their turn: rent only if the machines there are, and those to
-        come, would not be through with all that is ahead of a job by the time it is due."""
+        """Rent for arrays, whose tasks may wait their turn: only if present and expected machines
+        would not finish a job, and all work ahead of it, by the time it is due."""
         owner = self.owner
-        # CPUs that arrays may have, by the work's shape: what others claim is taken off.
+        # CPUs available to arrays: the claims of other jobs are subtracted, by their tasks' shape.
         available_cpus = sum(
             machine.machine_type.cpus for machine in usable if machine.machine_type is not None
         )
@@ -593,7 +602,7 @@
         work_cpu_s = needed_cpus = 0.0
         needed_kinds: set[str] = set()
         for job in jobs:
-            # What is claimed is mostly under way, on average half done.
+            # Claimed tasks are mostly running and on average half done.
             unclaimed = job.unclaimed.bit_count()
             left = (job.unfinished.bit_count() + unclaimed) / 2
             other_job_count, more = self.group_remainders.get(job.id, (0, 0))
@@ -601,15 +610,20 @@
             left += more
             limit = owner.limits.teams.get(job.spec.team)
             if limit is not None:
-                # More than its team may use at one time would not run anyway.
+                # Work beyond what the team may use at one time would not run anyway.
                 spec = job.spec
-                for most, each in ((limit.cpus_max, spec.cpus), (limit.gpus_max, spec.gpus)):
-                    if each > 0:
-                        left = min(left, (1 + other_job_count) * 4.0 * max(1, int(most / each)))
+                for team_limit, per_task in (
+                    (limit.cpus_max, spec.cpus),
+                    (limit.gpus_max, spec.gpus),
+                ):
+                    if per_task > 0:
+                        left = min(
+                            left, (1 + other_job_count) * 4.0 * max(1, int(team_limit / per_task))
+                        )
             task_cpus = self._effective_cpus(job)
             run_s = max(1.0, owner.estimates.expected_run_s(job))
             work_cpu_s += left * run_s * task_cpus
-            # Nobody is through sooner than one task's run after the machine is there.
+            # No job finishes sooner than one task's run after the machine is up.
             time_left_s = max(self._time_left_s(job) - 0.3 * run_s, 0.75 * run_s, 10.0)
             needed_cpus = max(needed_cpus, work_cpu_s / time_left_s)
             fitting = [t for t in owner.machine_types.values() if type_allowed(job.spec, t)]
@@ -617,8 +631,8 @@
                 needed_kinds.add(min(fitting, key=lambda t: t.price).name)
             if not unclaimed or now - job.first_seen_at < 0.4:
                 continue
-            # Cheap machines are rented for all that would otherwise still wait when they are up;
-            # dear ones only for what would be late.
+            # Cheap machines are rented for all work that would otherwise still wait once they are
+            # up; expensive ones only for work that would be late.
             boot_s = max((t.boot_s for t in fitting if self._is_cheap(t)), default=0.0)
             if boot_s:
                 until_cheap_up_s = max(min(time_left_s, boot_s + run_s), 10.0)
@@ -646,12 +660,12 @@
     def _surplus_machines(
         self, machines: list[Machine], surplus_cpus: float, needed: set[str]
     ) -> list[str]:
-        """The dearest machines that the arrays could do without: their holders let them run empty.
+        """Return the most expensive machines that arrays do not need; their holders drain them.
 
-        Cheapest types stay, since they are the ones to be rented next.
+        The cheapest types stay, because they would be rented next.
         """
         out: list[str] = []
-        # Prices of a CPU, by type and kind: of thousands of machines most are of the cheapest.
+        # Price per CPU by (type, spot), computed once: most of thousands of machines share a type.
         prices: dict[tuple[str, bool], float] = {}
         for m in machines:
             key = m.record.type, m.record.spot
@@ -679,7 +693,7 @@
         return out
 
     def _effective_cpus(self, job: JobRun) -> float:
-        """CPUs a task takes, or keeps others from taking because of its memory."""
+        """Return the CPUs a task takes, or blocks for others because of its memory."""
         spec = job.spec
         fitting = [t for t in self.owner.machine_types.values() if type_allowed(spec, t)]
         if not fitting:
@@ -688,13 +702,13 @@
         return max(spec.cpus, kind.cpus / self._tasks_per_machine(spec, kind))
 
     def _time_left_s(self, job: JobRun) -> float:
-        """How long the rest of an array may take, with some reserve."""
+        """Return how long the rest of an array may take, with some reserve."""
         owner = self.owner
         return owner.estimates.finish_within_s(job) * 0.7 - (owner.wall() - job.submitted_at)
 
     def write_rental(self, kind: str, zone: str, spot: bool, count: int, shard: str) -> None:
-        """Write a rental down, then ask the cloud for it. Of one type, zone and kind only one call
-        is under way: its answer tells whether there are more to be had."""
+        """Write the record of a rental, which is then sent to the cloud. Per type, zone and price
+        model only one call is open: its answer tells whether there is more capacity."""
         owner = self.owner
         self.rental_count += 1
         name = f"h{self.term}-{self.rental_count}.{shard}"
@@ -702,7 +716,7 @@
         self._commit([wire.Put(RENTAL + name, record)], [(RENTAL + name, 0)], lambda _: None)
 
     def _send_rentals(self, now: float) -> None:
-        """Every rental written down is asked for, under its name, until its answer is recorded."""
+        """Send every recorded rental to the cloud, under its name, until its answer is recorded."""
         owner = self.owner
         for key, item in list(owner.rentals.items()):
             name = key[len(RENTAL) :]
@@ -711,8 +725,8 @@
             if call in self.open_operations:
                 continue
             if (again := self.refused_rentals.get(key)) is not None:
-                # Refused: the protocol has one repetition, not one at every tick. What is left to
-                # do is to remove the record, which the state service may have refused in turn.
+                # A refused rental is not sent again, since the protocol allows one repetition, not
+                # one at every tick. Its record remains to be removed, which may have failed before.
                 if now >= again:
                     self._remove_refused_rental(key, item.stamp)
                 continue
@@ -743,12 +757,12 @@
                 new = [m for m in answer.machines if m not in owner.machines]
                 home_shards = self._assign_shards(name.partition(".")[2], len(new))
                 pairs = list(zip(new, home_shards, strict=True))
-                # A part must fit a transaction, with the rental's own key.
+                # Each part, with the rental's own key, must fit into one transaction.
                 size = owner.settings.params.state.txn_ops - 1
                 parts = [pairs[i : i + size] for i in range(0, len(pairs), size)] or [[]]
                 self._write_rented_machines(key, stamp, record, parts)
             elif status in (400, 503):
-                # A 503 was not executed; whoever still needs a machine asks under a new name.
+                # A call answered 503 was not executed; a later need uses a rental of a new name.
                 if b"no capacity" in body or status == 400:
                     self.no_capacity_until[place] = owner.now + 20.0
                     log.info("no capacity type=%s zone=%s spot=%s", *place)
@@ -759,7 +773,7 @@
         return done
 
     def _remove_refused_rental(self, key: str, stamp: int) -> None:
-        """A rental was refused: its record goes."""
+        """Remove the record of a refused rental."""
         self.refused_rentals[key] = self.owner.now + 2.0
 
         def done(result: Result) -> None:
@@ -771,7 +785,7 @@
     def _write_rented_machines(
         self, key: str, stamp: int, record: RentalRecord, parts: list[list[tuple[str, str]]]
     ) -> None:
-        """Write the rented machines' records; with the last of them the rental is settled."""
+        """Write the rented machines' records part by part; the last part removes the rental."""
         owner = self.owner
         part, rest = parts[0], parts[1:]
         changes: list[wire.Put | wire.Drop] = []
@@ -791,7 +805,7 @@
             if result.outcome is Outcome.DONE and rest:
                 self._write_rented_machines(key, stamp, record, rest)
             elif result.outcome is Outcome.CONFLICT and key not in result.failed:
-                # Some were up at once and have been taken in by those they reported to.
+                # Some machines came up at once and were adopted by the controller they reported to.
                 left = [(m, s) for m, s in part if MACHINE + m not in result.failed]
                 if len(left) < len(part):
                     self._write_rented_machines(key, stamp, record, [left, *rest])
@@ -804,10 +818,10 @@
         conditions: list[tuple[str, int]],
         done: Callable[[Result], None],
     ) -> None:
-        """A transaction that fails once the role has gone to another controller."""
+        """Send a transaction that fails once another controller holds the provisioner role."""
         self.owner.commit([*conditions, (PROVISIONER, self.term)], changes, done)
 
 
 def _smallest_shard(counts: dict[str, int]) -> str:
-    """The shard with the fewest machines."""
+    """Return the shard with the fewest machines."""
     return min(counts, key=lambda n: (counts[n], n))
