--- a/bench/limits.py
+++ b/bench/limits.py
@@ -26,9 +26,9 @@
 from pathlib import Path
 from typing import Any
 
-from bench.timing import owners_time
+from bench.timing import owner_cpu_time
 from sagecove.lab import deployment
-from sagecove.lab.deployment import job
+from sagecove.lab.deployment import job_submission
 from sagecove.lab.world import World
 
 SHARE_KEY_PREFIXES = ("s/quota/", "s/limit/", "s/share/")
@@ -44,9 +44,9 @@
 
     def __init__(self, nodes: int, teams: list[dict[str, Any]], machines: int) -> None:
         deployment.TEAMS[:] = teams
-        super().__init__(nodes=nodes, seed=nodes, audit=False)
+        super().__init__(node_count=nodes, seed=nodes, checks_ledgers=False)
         self.cloud.capacity = {"small": machines, "gpu": 0}
-        self.state.page = 500
+        self.state.page_size = 500
         self.share_transactions = self.failed_share_transactions = self.change_count = 0
         commit = self.state.commit
 
@@ -65,7 +65,7 @@
         self.state.commit = counted  # type: ignore[method-assign]
         self.run(3)
         for number in range(machines):
-            self.cloud.start("small", "ab"[number % 2], False)
+            self.cloud.start_machine("small", "ab"[number % 2], False)
         self.run(8)
 
     def cpus_used(self, name: str) -> float:
@@ -73,23 +73,25 @@
         return sum(
             self.specs[task.split("/")[0]]["vcpus"]
             for worker in self.workers.values()
-            for task in worker.live()
+            for task in worker.live_tasks()
             if self.specs[task.split("/")[0]]["outfit"] == name
         )
 
     def submit_all(self, specs: list[dict[str, Any]]) -> None:
         """Submit jobs at the same moment, at different controllers."""
         for number, spec in enumerate(specs):
-            node = f"n{number % self.nodes}"
-            self.ask(node, "POST", "/api/jobs", self.spec(spec), lambda s, b: None)
+            node = f"n{number % self.node_count}"
+            self.request_controller(
+                node, "POST", "/api/jobs", self.add_spec(spec), lambda s, b: None
+            )
 
     def fill_with_guest_tasks(self, machines: int) -> None:
         """Let endless tasks of guests take all machines."""
         for worker in self.workers.values():
-            worker.run_s = None
+            worker.task_run_s = None
         endless = {"outfit": "guests", "reckonS": 1e6, "hands": machines // 2}
-        self.submit_all([job(900000 + n, **endless) for n in range(6)])
-        self.until(lambda: self.cpus_used("guests") >= 3.9 * machines, 90)
+        self.submit_all([job_submission(900000 + n, **endless) for n in range(6)])
+        self.run_until(lambda: self.cpus_used("guests") >= 3.9 * machines, 90)
         self.run(10)
 
     def seconds_until_started(self, number: int, count: int, timeout_s: float) -> float:
@@ -98,7 +100,7 @@
         name = f"run-{number:06d}/"
         while self.now - begun_at < timeout_s:
             self.run(0.1)
-            if sum(task.startswith(name) for _, task, _ in self.starts) >= count:
+            if sum(task.startswith(name) for _, task, _ in self.task_starts) >= count:
                 return self.now - begun_at
         return float("inf")
 
@@ -106,7 +108,7 @@
 def measure_at_limit(nodes: int) -> dict[str, float]:
     """Measure a team at its limit."""
     world = LimitsWorld(nodes, [team_settings("red", 0, 160), team_settings("guests", 0, 0)], 60)
-    world.submit_all([job(n, hands=40) for n in range(60)])
+    world.submit_all([job_submission(n, hands=40) for n in range(60)])
     world.run(5)
     world.share_transactions = world.failed_share_transactions = world.change_count = 0
     samples = []
@@ -126,7 +128,7 @@
     world = LimitsWorld(nodes, [team_settings("red", 0, 160), team_settings("guests", 0, 0)], 0)
     world.cloud.capacity = {"small": 60, "gpu": 0}
     for number in range(60):
-        name = world.cloud.start("small", "ab"[number % 2], False)
+        name = world.cloud.start_machine("small", "ab"[number % 2], False)
         shard = "n0" if number % 3 else f"n{number % nodes}"
         record = {
             "type": "small",
@@ -138,20 +140,20 @@
         world.state.commit({"if": [], "then": [{"put": f"s/machine/{name}", "v": record}]})
     world.run(8)
     gang = {"shape": "ensemble", "rank": "urgent", "hands": 12}
-    world.submit_all([job(n, hands=40) for n in range(30)])
+    world.submit_all([job_submission(n, hands=40) for n in range(30)])
     world.run(5)
     world.share_transactions = world.failed_share_transactions = world.change_count = 0
-    samples, done_before = [], len(world.completed)
+    samples, done_before = [], len(world.completed_tasks)
     for step in range(100):
         if step % 12 == 0:
-            world.submit_all([job(1000 + step, **gang)])
+            world.submit_all([job_submission(1000 + step, **gang)])
         world.run(0.25)
         samples.append(world.cpus_used("red"))
     return {
         "transactions": world.share_transactions,
         "lost": world.failed_share_transactions,
         "mean use of 160": sum(samples) / len(samples),
-        "tasks done": len(world.completed) - done_before,
+        "tasks done": len(world.completed_tasks) - done_before,
         "changes a second": world.change_count / 25,
     }
 
@@ -160,7 +162,7 @@
     """Measure how soon a part of a guarantee is met with endless tasks."""
     world = LimitsWorld(nodes, [team_settings("red", 200, 240), team_settings("guests", 0, 0)], 60)
     world.fill_with_guest_tasks(60)
-    world.submit_all([job(1, hands=20, reckonS=1e6)])
+    world.submit_all([job_submission(1, hands=20, reckonS=1e6)])
     return {"all started after s": world.seconds_until_started(1, 20, 90)}
 
 
@@ -169,8 +171,8 @@
     world = LimitsWorld(nodes, [team_settings("red", 200, 240), team_settings("guests", 0, 0)], 60)
     world.fill_with_guest_tasks(60)
     for worker in world.workers.values():
-        worker.run_s = 20.0
-    world.submit_all([job(1, hands=100, reckonS=20.0)])
+        worker.task_run_s = 20.0
+    world.submit_all([job_submission(1, hands=100, reckonS=20.0)])
     return {
         "first s": world.seconds_until_started(1, 1, 90),
         "last after the first s": world.seconds_until_started(1, 100, 90),
@@ -182,10 +184,10 @@
     teams = [team_settings(f"t{n}", 20, 60) for n in range(10)]
     world = LimitsWorld(nodes, [*teams, team_settings("guests", 0, 0)], 60)
     world.fill_with_guest_tasks(60)
-    starts_before = len(world.starts)
-    world.submit_all([job(n, outfit=f"t{n}", hands=10, reckonS=1e6) for n in range(10)])
+    starts_before = len(world.task_starts)
+    world.submit_all([job_submission(n, outfit=f"t{n}", hands=10, reckonS=1e6) for n in range(10)])
     begun_at = world.now
-    while len(world.starts) < starts_before + 100 and world.now - begun_at < 90:
+    while len(world.task_starts) < starts_before + 100 and world.now - begun_at < 90:
         world.run(0.1)
     duration_s = world.now - begun_at
     world.run(5)
@@ -197,12 +199,12 @@
     """Measure how soon a lowered limit holds."""
     world = LimitsWorld(nodes, [team_settings("red", 0, 160), team_settings("guests", 0, 0)], 60)
     for worker in world.workers.values():
-        worker.run_s = 500.0
-    world.submit_all([job(n, hands=40, reckonS=500.0) for n in range(8)])
+        worker.task_run_s = 500.0
+    world.submit_all([job_submission(n, hands=40, reckonS=500.0) for n in range(8)])
     world.run(15)
     before = world.cpus_used("red")
     deployment.TEAMS[:] = [team_settings("red", 0, 80), team_settings("guests", 0, 0)]
-    world.check = lambda: None  # type: ignore[method-assign]
+    world.check_rules = lambda: None  # type: ignore[method-assign]
     begun_at, reached_s = world.now, float("inf")
 
     def run_and_observe(seconds: float) -> None:
@@ -212,10 +214,10 @@
             if world.cpus_used("red") <= 80:
                 reached_s = min(reached_s, world.now - begun_at)
 
-    for name in world.controllers():
-        world.kill(name)
+    for name in world.controller_names():
+        world.kill_node(name)
         run_and_observe(2)
-        world.boot_node(int(name[1:]))
+        world.start_node(int(name[1:]))
         run_and_observe(8)
     run_and_observe(60)
     return {"before": before, "under 80 after s": reached_s, "at the end": world.cpus_used("red")}
@@ -225,17 +227,17 @@
     """Measure the owners' time with thirty teams."""
     teams = [team_settings(f"t{n:02d}", 4, 8) for n in range(30)]
     world = LimitsWorld(nodes, [*teams, team_settings("guests", 0, 0)], 60)
-    world.submit_all([job(n, outfit=f"t{n % 30:02d}", hands=20) for n in range(120)])
+    world.submit_all([job_submission(n, outfit=f"t{n % 30:02d}", hands=20) for n in range(120)])
     world.run(5)
     world.share_transactions = world.failed_share_transactions = world.change_count = 0
-    with owners_time() as seconds:
+    with owner_cpu_time() as seconds:
         world.run(15)
     return {
         "ms a second": 1000 * seconds[0] / 15 / nodes,
         "transactions": world.share_transactions,
         "lost": world.failed_share_transactions,
         "changes a second": world.change_count / 15,
-        "started": len(world.starts),
+        "started": len(world.task_starts),
     }
 
 
--- a/bench/restart.py
+++ b/bench/restart.py
@@ -8,26 +8,26 @@
 from collections.abc import Callable
 from typing import Any
 
-from bench.size import build
+from bench.size import build_world
 from sagecove.lab.world import World
 
-BACK_S = 3.0
+CONTROLLER_RESTART_S = 3.0
 
 
-def crash(w: World) -> None:
+def crash_all_controllers(w: World) -> None:
     """All controllers end, and are started again."""
-    names = w.controllers()
+    names = w.controller_names()
     for name in names:
-        w.kill(name)
-    w.run(BACK_S)
+        w.kill_node(name)
+    w.run(CONTROLLER_RESTART_S)
     for name in names:
-        w.boot_node(int(name[1:]))
+        w.start_node(int(name[1:]))
 
 
-def timeline(w: World, most: float) -> list[tuple[str, float, float]]:
+def recovery_timeline(w: World, most: float) -> list[tuple[str, float, float]]:
     """Phases: when the first controller, and when the last, had got there; seconds from the start
     of the processes, infinite if it took longer than `most`."""
-    begun, starts = w.now, len(w.starts)
+    begun, starts = w.now, len(w.task_starts)
 
     def known(name: str, share: float) -> bool:
         machines = w.owners[name].machines_by_shard.get(name, {}).values()
@@ -49,7 +49,7 @@
             for name in w.owners:
                 if name not in found[phase] and there(name):
                     found[phase][name] = w.now - begun
-        if len(w.starts) > starts:
+        if len(w.task_starts) > starts:
             first_start = min(first_start, w.now - begun)
         if len(found["all back"]) == len(w.owners):
             break
@@ -65,19 +65,19 @@
     """Print the timeline."""
     machines = int(sys.argv[1]) if len(sys.argv) > 1 else 600
     waiting = int(sys.argv[2]) if len(sys.argv) > 2 else machines // 2
-    w = build(machines, waiting, nodes=5)
-    crash(w)
+    w = build_world(machines, waiting, nodes=5)
+    crash_all_controllers(w)
     asked = [0]
-    request = w.state.request
+    request = w.state.handle_request
 
     def counted(*args: Any) -> None:
         asked[0] += 1
         request(*args)
 
-    w.state.request = counted  # type: ignore[method-assign]
+    w.state.handle_request = counted  # type: ignore[method-assign]
     writes = w.state.ledger
     print(f"{machines} machines, {waiting} waiting jobs: seconds after the processes start")
-    for phase, first, last in timeline(w, 60.0):
+    for phase, first, last in recovery_timeline(w, 60.0):
         print(f"{phase:<28} first {first:6.1f}  last {last:6.1f}", flush=True)
     print(f"requests to the state service {asked[0]}, transactions {w.state.ledger - writes}")
 
--- a/bench/search.py
+++ b/bench/search.py
@@ -11,7 +11,7 @@
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis.stateful import run_state_machine_as_test
 
-from tests.test_sweep_machine import Sweeping
+from tests.test_sweep_machine import SweepStateMachine
 
 
 def main() -> None:
@@ -27,7 +27,7 @@
         # Shrinking takes longer than the search; a third argument asks for it.
         phases=[Phase.generate, *([Phase.shrink] if len(sys.argv) > 3 else [])],
     )
-    run_state_machine_as_test(Sweeping, settings=search)  # type: ignore[no-untyped-call]
+    run_state_machine_as_test(SweepStateMachine, settings=search)  # type: ignore[no-untyped-call]
     print(f"{examples} histories of up to {steps} steps: nothing found")
 
 
--- a/bench/size.py
+++ b/bench/size.py
@@ -16,80 +16,84 @@
 
 import msgspec
 
-from bench.timing import owners_time
+from bench.timing import owner_cpu_time
 from sagecove.coordination.owner import Owner
-from sagecove.lab.deployment import job, settings
-from sagecove.lab.models import FakeWorker
+from sagecove.lab.deployment import controller_settings, job_submission
+from sagecove.lab.fakes import FakeWorker
 from sagecove.lab.world import World
 from sagecove.protocol.users import Job
 from sagecove.storage.mirror import Event
 from sagecove.storage.records import JobRecord, MachineRecord
 
-TASKS = 4
-ARRAY = 120
+TASKS_PER_MACHINE_COUNT = 4
+ARRAY_TASK_COUNT = 120
 
 
-class Plain(World):
+class UncheckedWorld(World):
     """A world that checks no rules: with thousands of machines that is most of what it costs."""
 
-    def started(self, worker: FakeWorker, task: str) -> None:
-        self.starts.append((self.now, task, worker.name))
+    def task_started(self, worker: FakeWorker, task: str) -> None:
+        self.task_starts.append((self.now, task, worker.name))
 
-    def check(self) -> None:
+    def check_rules(self) -> None:
         pass
 
 
-def build(machines: int, waiting: int, nodes: int = 3) -> World:
+def build_world(machines: int, waiting: int, nodes: int = 3) -> World:
     """Machines with their records, and tasks that run for good on all of them."""
-    w = Plain(nodes=nodes)
-    w.audit = False  # type: ignore[attr-defined]
+    w = UncheckedWorld(node_count=nodes)
+    w.checks_ledgers = False  # type: ignore[attr-defined]
     w.cloud.capacity = {"small": 0, "gpu": 0}
-    w.state.page = 500
+    w.state.page_size = 500
     w.run(3)
     puts: list[dict[str, Any]] = []
     for number in range(machines):
-        name = w.cloud.start("small", "ab"[number % 2], False)
+        name = w.cloud.start_machine("small", "ab"[number % 2], False)
         record = MachineRecord("small", "ab"[number % 2], False, f"n{number % nodes}", "", w.now)
         puts.append({"put": f"s/machine/{name}", "v": msgspec.to_builtins(record)})
-    arrays = machines * TASKS // ARRAY
+    arrays = machines * TASKS_PER_MACHINE_COUNT // ARRAY_TASK_COUNT
     for number in range(arrays + waiting):
-        fields: dict[str, Any] = {"hands": ARRAY} if number < arrays else {"hands": 2}
-        spec = w.spec(job(number, outfit="guests", vcpus=1.0, memoryGb=1.0, **fields))
+        fields: dict[str, Any] = {"hands": ARRAY_TASK_COUNT} if number < arrays else {"hands": 2}
+        spec = w.add_spec(
+            job_submission(number, outfit="guests", vcpus=1.0, memoryGb=1.0, **fields)
+        )
         puts.append({"put": f"s/job/{spec['nameId']}", "v": {"spec": spec, "at": w.now}})
     for start in range(0, len(puts), 10):
         w.state.commit({"if": [], "then": puts[start : start + 10]})
     w.run(0.5)
     for worker in w.workers.values():
-        worker.run_s = 1e9
+        worker.task_run_s = 1e9
     begun = w.now
-    while len(w.starts) < arrays * ARRAY:
+    while len(w.task_starts) < arrays * ARRAY_TASK_COUNT:
         if w.now - begun > 240:
-            raise SystemExit(f"only {len(w.starts)} of {arrays * ARRAY} tasks started")
+            raise SystemExit(
+                f"only {len(w.task_starts)} of {arrays * ARRAY_TASK_COUNT} tasks started"
+            )
         w.run(1.0)
     w.run(6.0)
     return w
 
 
-def calm(machines: int, waiting: int = 0, seconds: float = 6.0) -> tuple[float, float]:
+def measure_idle(machines: int, waiting: int = 0, seconds: float = 6.0) -> tuple[float, float]:
     """Milliseconds of owners' processor time a second and controller; microseconds a report."""
-    w = build(machines, waiting)
+    w = build_world(machines, waiting)
     reports = [0]
-    ask = w.ask
+    ask = w.request_controller
 
     def counted(node: str, method: str, path: str, *args: Any) -> None:
         reports[0] += path == "/hello"
         ask(node, method, path, *args)
 
-    w.ask = counted  # type: ignore[method-assign]
-    with owners_time() as spent:
+    w.request_controller = counted  # type: ignore[method-assign]
+    with owner_cpu_time() as spent:
         w.run(seconds)
     return 1000 * spent[0] / seconds / 3, 1e6 * spent[0] / max(1, reports[0])
 
 
-def memory(machines: int, waiting: int) -> float:
+def measure_memory_mb(machines: int, waiting: int) -> float:
     """Megabytes that machines, their tasks' jobs and waiting jobs take in a controller, by their
     records; what stands beside them, and placements, comes on top."""
-    owner = Owner(settings(0), Random(1), 0.0, 0.0)
+    owner = Owner(controller_settings(0), Random(1), 0.0, 0.0)
     gc.collect()
     tracemalloc.start()
     stamp = 0
@@ -97,9 +101,9 @@
         stamp += 1
         record = MachineRecord("small", "a", False, f"n{number % 3}", "10.9.0.1:9", 0.0)
         owner.apply_event(Event(f"s/machine/vm-{number:06d}", record, stamp))
-    for number in range(machines * TASKS // ARRAY + waiting):
+    for number in range(machines * TASKS_PER_MACHINE_COUNT // ARRAY_TASK_COUNT + waiting):
         stamp += 1
-        spec = msgspec.convert(job(number, outfit="guests", hands=ARRAY), Job)
+        spec = msgspec.convert(job_submission(number, outfit="guests", hands=ARRAY_TASK_COUNT), Job)
         owner.apply_event(Event(f"s/job/{spec.id}", JobRecord(spec, 0.0), stamp))
     gc.collect()
     grown = tracemalloc.get_traced_memory()[0]
@@ -133,11 +137,14 @@
         mine = _one(".", machines, args.waiting)
         other = _one(args.baseline, machines, args.waiting) if args.baseline else []
         print(f"{machines:>8}  {mine[0]:>26}  {mine[1]:>11}  {' '.join(other)}", flush=True)
-    print(f"records of 6,000 machines and 10,000 waiting jobs: {memory(6000, 10000):.0f} MB")
+    print(
+        "records of 6,000 machines and 10,000 waiting jobs:"
+        f" {measure_memory_mb(6000, 10000):.0f} MB"
+    )
 
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["--one"]:
-        print(*(f"{figure:.1f}" for figure in calm(int(sys.argv[2]), int(sys.argv[3]))))
+        print(*(f"{figure:.1f}" for figure in measure_idle(int(sys.argv[2]), int(sys.argv[3]))))
     else:
         main()
--- a/bench/sweeps.py
+++ b/bench/sweeps.py
@@ -8,49 +8,49 @@
 from statistics import median
 from typing import Any
 
-from bench.timing import owners_time
-from sagecove.features import load, maker
+from bench.timing import owner_cpu_time
+from sagecove.features import feature_factory, load_features
 from sagecove.lab import deployment
-from sagecove.lab.deployment import job
+from sagecove.lab.deployment import job_submission
 from sagecove.lab.world import World
 from sagecove.sweeps.feature import Options
 
 
 def point(**fields: Any) -> dict[str, Any]:
     """A point's job: small, so that machines are not what bounds the pace."""
-    spec = job(1, vcpus=0.25, memoryGb=0.1, sizeGb=0.1, **fields)
+    spec = job_submission(1, vcpus=0.25, memoryGb=0.1, sizeGb=0.1, **fields)
     return {k: v for k, v in spec.items() if k != "nameId"}
 
 
 def memory(kind: str, count: int, nodes: int = 3) -> tuple[float, float, float]:
     """Milliseconds of all owners' processor time a point, writes a point, points a second: as a
     sweep, or as the tasks of one array (the baseline). Sixty machines; tasks take 3 s."""
-    w = World(nodes=nodes, features=maker([("sweeps", Options())]))
-    w.check = lambda: None  # type: ignore[method-assign]
+    w = World(node_count=nodes, features=feature_factory([("sweeps", Options())]))
+    w.check_rules = lambda: None  # type: ignore[method-assign]
     w.cloud.capacity = {"small": 60, "gpu": 0}
     for number in range(60):
-        w.cloud.start("small", "ab"[number % 2], False)
+        w.cloud.start_machine("small", "ab"[number % 2], False)
     w.run(3)
     for worker in w.workers.values():
-        worker.run_s = 3.0
+        worker.task_run_s = 3.0
     # Checking each start against all machines would take longer than all the rest.
-    w.started = lambda worker, task: None  # type: ignore[method-assign]
+    w.task_started = lambda worker, task: None  # type: ignore[method-assign]
     writes = [0]
 
     def counted(node: str, body: dict[str, Any]) -> None:
         writes[0] += len(body["then"])
 
-    w.state.hook = counted
+    w.state.transaction_fault = counted
     begun = w.now
-    with owners_time() as spent:
+    with owner_cpu_time() as spent:
         if kind == "sweep":
             body = {"id": "run-s", "space": f"x in 1..{count}", "job": point()}
-            w.user("n0", "POST", "/api/sweeps", body)
+            w.user_request("n0", "POST", "/api/sweeps", body)
         else:
             w.submit("n0", {**point(), "nameId": "run-a", "hands": count})
-        while len(w.completed) < count and w.now - begun < 36000:
+        while len(w.completed_tasks) < count and w.now - begun < 36000:
             w.run(1.0)
-    assert len(w.completed) == count
+    assert len(w.completed_tasks) == count
     return 1000 * spent[0] / count, writes[0] / count, count / (w.now - begun)
 
 
@@ -70,8 +70,8 @@
     def counted(node: str, body: dict[str, Any]) -> None:
         writes[0] += len(body["then"])
 
-    lab.state.hook = counted
-    lab.started = lambda worker, task: None  # type: ignore[method-assign]
+    lab.state.transaction_fault = counted
+    lab.task_started = lambda worker, task: None  # type: ignore[method-assign]
     lab.start(60)
     asked = Demo(lab, lambda text: None)
     latencies: list[float] = []
@@ -93,7 +93,7 @@
         body = {"id": "run-s", "space": f"x in 1..{count}", "job": point(reckonS=5.0)}
         yield asked.user("POST", "/api/sweeps", body)
         number = 0
-        while len([t for t in lab.completed if t.startswith("run-s.")]) < count:
+        while len([t for t in lab.completed_tasks if t.startswith("run-s.")]) < count:
             number += 1
             sent = lab.now
             other = {**point(outfit="blue"), "nameId": f"run-o{number}"}
@@ -103,7 +103,7 @@
             if lab.now - begun > 500:
                 break
         took = lab.now - begun
-        done = len([t for t in lab.completed if t.startswith("run-s.")])
+        done = len([t for t in lab.completed_tasks if t.startswith("run-s.")])
         spent = cpu() - before - idle * took
         latencies.sort()
         late = 1000 * latencies[int(0.95 * len(latencies))]
@@ -122,7 +122,7 @@
 
 
 if __name__ == "__main__":
-    assert load("deploy/features.toml")
+    assert load_features("deploy/features.toml")
     if sys.argv[1:2] == ["loopback"]:
         loopback(int(sys.argv[2]), int(sys.argv[3]))
     else:
--- a/bench/timing.py
+++ b/bench/timing.py
@@ -9,7 +9,7 @@
 
 
 @contextmanager
-def owners_time() -> Iterator[list[float]]:
+def owner_cpu_time() -> Iterator[list[float]]:
     """A list whose one figure grows by the seconds of processor time that owners take."""
     spent = [0.0]
     handle = Owner.handle
--- a/sagecove/cli.py
+++ b/sagecove/cli.py
@@ -9,8 +9,14 @@
 from typing import Any
 
 from sagecove import __version__
-from sagecove.ask import CONTROLLERS, HERE, Failed, ask, read_json
-from sagecove.nouns import NOUNS
+from sagecove.command_groups import COMMAND_MODULES
+from sagecove.controller_client import (
+    CONTROLLERS_VARIABLE,
+    DEFAULT_CONTROLLERS,
+    RequestFailed,
+    ask_controllers,
+    read_json,
+)
 
 
 def _logging() -> None:
@@ -39,8 +45,8 @@
     asking.add_argument(
         "--controllers",
         metavar="HOST:PORT,...",
-        default=os.environ.get(CONTROLLERS, HERE),
-        help=f"whom to ask, in this order (default: ${CONTROLLERS}, else 127.0.0.1:8080)",
+        default=os.environ.get(CONTROLLERS_VARIABLE, DEFAULT_CONTROLLERS),
+        help=f"whom to ask, in this order (default: ${CONTROLLERS_VARIABLE}, else 127.0.0.1:8080)",
     )
     asking.add_argument("--json", action="store_true", help="print the answer as JSON")
     return asking
@@ -107,17 +113,17 @@
 
 def _command(args: argparse.Namespace) -> Any:
     if args.command == "submit":
-        return ask(args.controllers, "POST", "/api/jobs", read_json(args.file))
+        return ask_controllers(args.controllers, "POST", "/api/jobs", read_json(args.file))
     if args.command == "cluster":
-        return ask(args.controllers, "GET", "/cluster")
+        return ask_controllers(args.controllers, "GET", "/cluster")
     from urllib.parse import quote
 
     job = quote(args.job, safe="")
     if args.command == "status":
-        return ask(args.controllers, "GET", f"/api/jobs/{job}")
+        return ask_controllers(args.controllers, "GET", f"/api/jobs/{job}")
     if args.command == "cancel":
-        return ask(args.controllers, "POST", f"/api/jobs/{job}/cancel", b"")
-    return ask(args.controllers, "GET", f"/explain/{job}")
+        return ask_controllers(args.controllers, "POST", f"/api/jobs/{job}/cancel", b"")
+    return ask_controllers(args.controllers, "GET", f"/explain/{job}")
 
 
 def _show(command: str, answer: dict[str, Any]) -> str:
@@ -186,7 +192,7 @@
     """A feature's part of the command line: loaded only when it is asked for."""
     import importlib
 
-    commands = importlib.import_module(NOUNS[argv[0]])
+    commands = importlib.import_module(COMMAND_MODULES[argv[0]])
     args = commands.parser(_asking_parser(), argv[0]).parse_args(argv[1:])
     return _asking(lambda: commands.run(args))
 
@@ -195,7 +201,7 @@
     """Run what asks controllers; its exit status."""
     try:
         return call()
-    except Failed as error:
+    except RequestFailed as error:
         print(f"sagecove: {error}", file=sys.stderr)
         return 1
     except (OSError, ValueError) as error:
@@ -208,7 +214,7 @@
 def main(argv: list[str] | None = None) -> int:
     """Run a command; its exit status: 0 success, 1 refused or failed, 2 usage or settings."""
     given = sys.argv[1:] if argv is None else argv
-    if given and given[0] in NOUNS:
+    if given and given[0] in COMMAND_MODULES:
         return _noun(given)
     args = _parser().parse_args(given)
     if args.command == "dev":
@@ -220,11 +226,11 @@
     if args.command not in ("serve", "check-config"):
         return _asking(lambda: _told(args))
     from sagecove import features
-    from sagecove.config import SettingsError, load
+    from sagecove.config import SettingsError, load_settings
 
     try:
-        settings = load(args.config)
-        chosen = features.load(args.features) if args.features else []
+        settings = load_settings(args.config)
+        chosen = features.load_features(args.features) if args.features else []
     except SettingsError as error:
         print(f"sagecove: {error}", file=sys.stderr)
         return 2
--- a/sagecove/config.py
+++ b/sagecove/config.py
@@ -19,7 +19,7 @@
     """The settings are missing a field or make no sense."""
 
 
-class Member(msgspec.Struct, rename={"zone": "area", "addr": "endpoint"}):
+class Peer(msgspec.Struct, rename={"zone": "area", "addr": "endpoint"}):
     """Another controller."""
 
     node: Name
@@ -27,7 +27,7 @@
     addr: Address
 
 
-class Services(msgspec.Struct):
+class ServiceAddresses(msgspec.Struct):
     """Where the cloud and the state service answer."""
 
     cloud: Address
@@ -35,12 +35,12 @@
 
 
 # A worker takes no answer after this time (seconds, from PROTOCOL).
-ANSWER_S = 4.0
+WORKER_ANSWER_TIMEOUT_S = 4.0
 # A shorter lease would end between two requests to the state service that get no answer.
 LEAST_S = 2.0
 
 # Stands for "no limit": more than any fleet has, and still a number that records can carry.
-UNLIMITED = 1e9
+UNLIMITED_AMOUNT = 1e9
 
 
 class Team(msgspec.Struct):
@@ -54,8 +54,8 @@
     gpus_max: Amount = 0.0
 
     def __post_init__(self) -> None:
-        self.cpus_max = self.cpus_max or UNLIMITED
-        self.gpus_max = self.gpus_max or UNLIMITED
+        self.cpus_max = self.cpus_max or UNLIMITED_AMOUNT
+        self.gpus_max = self.gpus_max or UNLIMITED_AMOUNT
 
 
 class Objective(msgspec.Struct, rename={"klass": "class"}):
@@ -68,7 +68,7 @@
     times: float | None = None
 
 
-class Workers(msgspec.Struct):
+class WorkerTimes(msgspec.Struct):
     """The workers' pace."""
 
     report_s: Positive
@@ -78,7 +78,7 @@
     cancel_s: Positive
 
 
-class State(msgspec.Struct):
+class StateServiceLimits(msgspec.Struct):
     """The state service's limits."""
 
     rps: Positive
@@ -87,7 +87,7 @@
     txn_ops: Annotated[int, msgspec.Meta(ge=4)]
 
 
-class Cloud(msgspec.Struct):
+class CloudLimits(msgspec.Struct):
     """The cloud's limits."""
 
     rps: Positive
@@ -102,15 +102,15 @@
     fd_limit: Annotated[int, msgspec.Meta(ge=32)]
 
 
-class Params(msgspec.Struct):
+class ClusterSettings(msgspec.Struct):
     """The cluster as a whole."""
 
     size: Annotated[int, msgspec.Meta(ge=1)]
     zones: Annotated[list[Name], msgspec.Meta(min_length=1)]
     teams: list[Team]
-    workers: Workers
-    state: State
-    cloud: Cloud
+    workers: WorkerTimes
+    state: StateServiceLimits
+    cloud: CloudLimits
     resources: Resources
     objectives: list[Objective] = []
     time_bound_ms: Amount = 5.0
@@ -132,9 +132,9 @@
     zone: Name
     listen: Address
     peer_listen: Address
-    peers: list[Member]
-    services: Services
-    params: Params
+    peers: list[Peer]
+    services: ServiceAddresses
+    params: ClusterSettings
 
     @property
     def nodes(self) -> list[str]:
@@ -142,12 +142,12 @@
         return [self.node, *(peer.node for peer in self.peers)]
 
     @property
-    def drift(self) -> float:
+    def clock_drift_ratio(self) -> float:
         """Two steady clocks may differ by this share (twice the bound of one, from PROTOCOL)."""
         return 0.001
 
     @property
-    def poll_s(self) -> float:
+    def poll_interval_s(self) -> float:
         """The pace of claims: DESIGN's pollInterval is 1.5 s with a lease of 20 s, kept as a ratio
         to the report pace (seconds)."""
         return min(1.5, self.params.workers.report_s / 2)
@@ -166,12 +166,12 @@
         Each by clocks that differ by `drift`.
         """
         workers = self.params.workers
-        left = workers.cancel_s - ANSWER_S
-        fits = left / (1 + self.drift) - workers.lease_s
+        left = workers.cancel_s - WORKER_ANSWER_TIMEOUT_S
+        fits = left / (1 + self.clock_drift_ratio) - workers.lease_s
         return min(0.65 * workers.lease_s, 0.72 * (workers.cancel_s - workers.lease_s), fits)
 
 
-def read(path: str) -> bytes:
+def read_file(path: str) -> bytes:
     """A file's content; `SettingsError` if it can't be had."""
     try:
         with open(path, "rb") as file:
@@ -180,9 +180,9 @@
         raise SettingsError(f"{path}: {error.strerror}") from None
 
 
-def load(path: str) -> Settings:
+def load_settings(path: str) -> Settings:
     """Read and check a settings file."""
-    raw = read(path)
+    raw = read_file(path)
     try:
         settings = msgspec.json.decode(raw, type=Settings)
     except msgspec.MsgspecError as error:
--- a/sagecove/ask.py
+++ b/sagecove/controller_client.py
@@ -6,11 +6,11 @@
 from typing import Any
 
 # Where controllers are asked: addresses with commas between, tried in this order.
-CONTROLLERS = "SAGECOVE_CONTROLLERS"
-HERE = "127.0.0.1:8080"
+CONTROLLERS_VARIABLE = "SAGECOVE_CONTROLLERS"
+DEFAULT_CONTROLLERS = "127.0.0.1:8080"
 
 
-class Failed(Exception):
+class RequestFailed(Exception):
     """A command was refused or nobody answered: one line for the user, and status 1. `status`:
     that of the last answer, if there was one."""
 
@@ -19,7 +19,7 @@
         self.status = status
 
 
-def ask(controllers: str, method: str, path: str, body: bytes | None = None) -> Any:
+def ask_controllers(controllers: str, method: str, path: str, body: bytes | None = None) -> Any:
     """Ask the controllers in turn until one gives an answer that is not "not now"."""
     last, status = "no address", None
     for address in controllers.split(","):
@@ -39,8 +39,8 @@
         why = content.get("error", "") if isinstance(content, dict) else ""
         last = f"{address.strip()} answers {status}: {why}"
         if status not in (429, 503, 504):
-            raise Failed(last, status)
-    raise Failed(f"no controller can answer ({last})", status)
+            raise RequestFailed(last, status)
+    raise RequestFailed(f"no controller can answer ({last})", status)
 
 
 def read_json(path: str) -> bytes:
--- a/sagecove/coordination/claims/claimer.py
+++ b/sagecove/coordination/claims/claimer.py
@@ -10,7 +10,7 @@
 from sagecove.coordination.claims.preemptor import Preemptor
 from sagecove.coordination.estimates import NOT_STARTED_RANK, Estimates
 from sagecove.coordination.images import Images
-from sagecove.coordination.interfaces import MirrorSync, OwnerContext, ShardQueries
+from sagecove.coordination.interfaces import OwnerContext, ShardQueries, SyncRequests
 from sagecove.coordination.ledger import Ledger
 from sagecove.coordination.limits.team_limits import TeamLimits
 from sagecove.coordination.model import JobRun, Machine, Shard, fixed_precedence, to_millionths
@@ -25,7 +25,7 @@
 )
 from sagecove.protocol import state as wire
 from sagecove.storage import taskset
-from sagecove.storage.records import HOLDER, JOB, tasks_most
+from sagecove.storage.records import HOLDER_PREFIX, JOB_PREFIX, max_claimable_tasks
 from sagecove.storage.store import Outcome, Result
 
 CLAIM_BATCH_COUNT = 4  # open claims at one time (the paper's batchSize: claims of one poll)
@@ -47,7 +47,7 @@
         backlog: Backlog,
         estimates: Estimates,
         shards: ShardQueries,
-        sync: MirrorSync,
+        sync: SyncRequests,
         images: Images,
     ) -> None:
         self.context = context
@@ -192,7 +192,7 @@
             return count
         held = job.all_tasks & ~job.finished & ~job.unclaimed
         settings = self.context.settings
-        most = tasks_most(
+        most = max_claimable_tasks(
             job.record, job.finished, held, len(settings.nodes), settings.params.state.value_kb
         )
         return min(count, most - held.bit_count())
@@ -343,7 +343,7 @@
             self.ledger.update_claims(job)
             self.open_claim_count -= 1
             self.context.pass_needed = True
-            lost_race = result.outcome is Outcome.CONFLICT and JOB + job.id in result.failed
+            lost_race = result.outcome is Outcome.CONFLICT and JOB_PREFIX + job.id in result.failed
             self.lost_share += (float(lost_race) - self.lost_share) / (2 * CLAIM_BATCH_COUNT)
             if result.outcome is Outcome.DONE:
                 return
@@ -356,7 +356,7 @@
                     self.context.now + self.context.random.uniform(0.1, 1.0) * self.state.poll_s
                 )
 
-        conditions = [(JOB + job.id, job.stamp), (HOLDER + shard.name, shard.term)]
+        conditions = [(JOB_PREFIX + job.id, job.stamp), (HOLDER_PREFIX + shard.name, shard.term)]
         self.context.commit(conditions, [change], done)
 
     def _turn(self, job: JobRun) -> float:
@@ -373,7 +373,7 @@
             return None
         claims = dict(job.claims)
         claims[shard.name] = claims.get(shard.name, 0) | bits
-        return wire.Put(JOB + job.id, job.with_sets(job.finished, claims))
+        return wire.Put(JOB_PREFIX + job.id, job.with_sets(job.finished, claims))
 
     def claim_similar(
         self, now: float, shard: Shard, jobs: list[JobRun], promised: RoomByMachine
--- a/sagecove/coordination/claims/pass_state.py
+++ b/sagecove/coordination/claims/pass_state.py
@@ -23,7 +23,7 @@
         self.context = context
         self.ledger = ledger
         self.policy = policy
-        self.poll_s = context.settings.poll_s
+        self.poll_s = context.settings.poll_interval_s
         # Earliest time of the next pass with preemption; whether the current pass has it.
         self.preempt_after = 0.0
         self.preemption_due = False
--- a/sagecove/coordination/claims/releaser.py
+++ b/sagecove/coordination/claims/releaser.py
@@ -5,10 +5,10 @@
 from typing import NamedTuple
 
 from sagecove.coordination.claims.pass_state import PassState
-from sagecove.coordination.interfaces import MirrorSync, OwnerContext
+from sagecove.coordination.interfaces import OwnerContext, SyncRequests
 from sagecove.coordination.model import JobRun, Shard
 from sagecove.protocol import state as wire
-from sagecove.storage.records import HOLDER, JOB
+from sagecove.storage.records import HOLDER_PREFIX, JOB_PREFIX
 from sagecove.storage.store import Outcome, Result
 
 
@@ -27,7 +27,7 @@
 class Releaser:
     """Releases claims and resolves releases with an unknown outcome."""
 
-    def __init__(self, context: OwnerContext, state: PassState, sync: MirrorSync) -> None:
+    def __init__(self, context: OwnerContext, state: PassState, sync: SyncRequests) -> None:
         self.context = context
         self.sync = sync
         self.state = state
@@ -103,6 +103,6 @@
                 return
             job.releasing &= ~bits
 
-        conditions = [(JOB + job.id, stamp), (HOLDER + shard.name, shard.term)]
-        put = wire.Put(JOB + job.id, job.with_sets(job.finished, claims))
+        conditions = [(JOB_PREFIX + job.id, stamp), (HOLDER_PREFIX + shard.name, shard.term)]
+        put = wire.Put(JOB_PREFIX + job.id, job.with_sets(job.finished, claims))
         self.context.commit(conditions, [put], done)
--- a/sagecove/coordination/claims/results.py
+++ b/sagecove/coordination/claims/results.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from sagecove.coordination.backlog import Backlog
-from sagecove.coordination.interfaces import MachineCommands, MirrorSync, OwnerContext
+from sagecove.coordination.interfaces import MachineCommands, OwnerContext, SyncRequests
 from sagecove.coordination.model import JobRun, Shard
 from sagecove.protocol import state as wire
 from sagecove.protocol.users import DONE
-from sagecove.storage.records import HOLDER, JOB, OVER, OverRecord
+from sagecove.storage.records import FINAL_STATE_PREFIX, HOLDER_PREFIX, JOB_PREFIX, FinalStateRecord
 from sagecove.storage.store import Outcome, Result
 
 
@@ -15,7 +15,7 @@
     """Makes results durable, and stops incomplete gangs."""
 
     def __init__(
-        self, context: OwnerContext, backlog: Backlog, workers: MachineCommands, sync: MirrorSync
+        self, context: OwnerContext, backlog: Backlog, workers: MachineCommands, sync: SyncRequests
     ) -> None:
         self.context = context
         self.backlog = backlog
@@ -46,18 +46,18 @@
             if tasks_left_here and now - job.recorded_at < self.write_interval_s:
                 continue
             job.recorded_at = now
-            key = JOB + job.id
-            changes: list[wire.Put | wire.Drop]
+            key = JOB_PREFIX + job.id
+            changes: list[wire.Put | wire.Delete]
             if finished == job.all_tasks:
                 changes = [
-                    wire.Drop(key),
-                    wire.Put(OVER + job.id, OverRecord(DONE, job.spec.tasks)),
+                    wire.Delete(key),
+                    wire.Put(FINAL_STATE_PREFIX + job.id, FinalStateRecord(DONE, job.spec.tasks)),
                 ]
             else:
                 changes = [wire.Put(key, job.with_sets(finished, job.claims))]
             self._write(job, shard, changes)
 
-    def _write(self, job: JobRun, shard: Shard, changes: list[wire.Put | wire.Drop]) -> None:
+    def _write(self, job: JobRun, shard: Shard, changes: list[wire.Put | wire.Delete]) -> None:
         """Writes a job's record on condition that neither it nor the shard's holder has changed."""
         job.committing = True
 
@@ -70,7 +70,7 @@
             elif result.outcome is not Outcome.DONE:
                 job.claim_after = self.context.now + self.context.random.uniform(0.3, 1.0)
 
-        conditions = [(JOB + job.id, job.stamp), (HOLDER + shard.name, shard.term)]
+        conditions = [(JOB_PREFIX + job.id, job.stamp), (HOLDER_PREFIX + shard.name, shard.term)]
         self.context.commit(conditions, changes, done)
 
     def stop_incomplete_gangs(self, now: float) -> None:
--- a/sagecove/coordination/claims/scheduling_pass.py
+++ b/sagecove/coordination/claims/scheduling_pass.py
@@ -22,9 +22,9 @@
     DrainHints,
     FailureJudge,
     MachineCommands,
-    MirrorSync,
     OwnerContext,
     ShardQueries,
+    SyncRequests,
 )
 from sagecove.coordination.ledger import Ledger
 from sagecove.coordination.limits.team_limits import TeamLimits
@@ -54,7 +54,7 @@
         policy: PreemptionPolicy,
         workers: MachineCommands,
         shards: ShardQueries,
-        sync: MirrorSync,
+        sync: SyncRequests,
         peers: DrainHints,
         images: Images,
     ) -> None:
@@ -66,7 +66,7 @@
         self.failures = failures
         self.shards = shards
         self.peers = peers
-        self.poll_s = context.settings.poll_s
+        self.poll_s = context.settings.poll_interval_s
         self.pass_state = PassState(context, ledger, policy)
         self.preemptor = Preemptor(
             context, self.pass_state, ledger, limits, policy, workers, shards
--- a/sagecove/coordination/estimates.py
+++ b/sagecove/coordination/estimates.py
@@ -163,7 +163,7 @@
         fitting = [t for t in self.context.machine_types.values() if type_allowed(spec, t)]
         gpus = {t.name for t in fitting if t.gpus > 0}
         if len(gpus) < len(fitting):
-            if waited_s > self.context.settings.poll_s / 2:
+            if waited_s > self.context.settings.poll_interval_s / 2:
                 gpus &= self.large_job_arrivals.keys()
             job.avoided_types = frozenset(gpus)
 
--- a/sagecove/coordination/explain.py
+++ b/sagecove/coordination/explain.py
@@ -8,7 +8,7 @@
 
 from typing import Protocol
 
-from sagecove.config import UNLIMITED
+from sagecove.config import UNLIMITED_AMOUNT
 from sagecove.coordination.claims.preemptor import gang_long_wait_s
 from sagecove.coordination.interfaces import FailureJudge, OwnerContext
 from sagecove.coordination.limits.records import ResourceAmount
@@ -23,9 +23,9 @@
 from sagecove.coordination.placement import type_allowed
 from sagecove.coordination.preemption_policy import PreemptionPolicy
 from sagecove.protocol import workers as worker_protocol
-from sagecove.protocol.views import Cluster, Explanation, MachineView, ShardView, TeamView
+from sagecove.protocol.views import ClusterView, Explanation, MachineView, ShardView, TeamView
 from sagecove.storage.mirror import Mirror
-from sagecove.storage.records import HOLDER, MEMBER, PROVISIONER
+from sagecove.storage.records import HOLDER_PREFIX, MEMBER_PREFIX, PROVISIONER_KEY
 
 
 class ShardLookup(Protocol):
@@ -239,12 +239,12 @@
     return "it is older"
 
 
-def cluster_view(owner: ExplainContext) -> Cluster:
+def cluster_view(owner: ExplainContext) -> ClusterView:
     """Return members, shards and holders, teams' use and limits, and machines in trouble."""
     settings = owner.settings
     now = owner.now
     items = owner.mirror.items
-    role = items.get(PROVISIONER)
+    role = items.get(PROVISIONER_KEY)
     shards = []
     for name in sorted(settings.nodes):
         held = owner.held_shards.get(name)
@@ -252,7 +252,7 @@
             ShardView(
                 name,
                 owner.shards.holder_of(name),
-                owner.mirror.stamp(HOLDER + name),
+                owner.mirror.revision_of(HOLDER_PREFIX + name),
                 len(owner.machines_by_shard.get(name, {})),
                 round(now - held.held_since, 1) if held is not None else None,
             )
@@ -271,10 +271,10 @@
             troubled.append(
                 MachineView(machine.name, record.type, record.zone, record.shard, state)
             )
-    return Cluster(
+    return ClusterView(
         settings.node,
         owner.sync.connected(),
-        sorted(n for n in settings.nodes if MEMBER + n in items),
+        sorted(n for n in settings.nodes if MEMBER_PREFIX + n in items),
         role.value.node if role is not None and role.value is not None else None,
         len(owner.machines),
         shards,
@@ -312,8 +312,8 @@
                 round(gpus, 3),
                 team.cpus,
                 team.gpus,
-                team.cpus_max if team.cpus_max < UNLIMITED else None,
-                team.gpus_max if team.gpus_max < UNLIMITED else None,
+                team.cpus_max if team.cpus_max < UNLIMITED_AMOUNT else None,
+                team.gpus_max if team.gpus_max < UNLIMITED_AMOUNT else None,
                 round(max(0.0, cpus - entitled[0]), 3),
                 round(max(0.0, gpus - entitled[1]), 3),
                 int(tasks),
--- a/sagecove/coordination/handover/room_requests.py
+++ b/sagecove/coordination/handover/room_requests.py
@@ -16,14 +16,14 @@
 import msgspec
 
 from sagecove.coordination.backlog import Backlog
-from sagecove.coordination.interfaces import TICK_S, MirrorSync, OwnerContext, ShardQueries
+from sagecove.coordination.interfaces import TICK_S, OwnerContext, ShardQueries, SyncRequests
 from sagecove.coordination.ledger import Ledger
 from sagecove.coordination.limits.team_limits import TeamLimits
 from sagecove.coordination.model import JobRun, Machine, Shard, precedence
 from sagecove.coordination.placement import machine_suits, tasks_fitting
 from sagecove.protocol import state as wire
 from sagecove.protocol.peers import RoomRequest
-from sagecove.storage.records import HOLDER, MACHINE
+from sagecove.storage.records import HOLDER_PREFIX, MACHINE_PREFIX
 from sagecove.storage.store import Outcome, Result
 
 log = logging.getLogger("sagecove.handover")
@@ -44,7 +44,7 @@
         limits: TeamLimits,
         backlog: Backlog,
         shards: ShardQueries,
-        sync: MirrorSync,
+        sync: SyncRequests,
     ) -> None:
         self.context = context
         self.ledger = ledger
@@ -52,7 +52,7 @@
         self.backlog = backlog
         self.shards = shards
         self.sync = sync
-        self.poll_s = context.settings.poll_s
+        self.poll_s = context.settings.poll_interval_s
         self.checked_at = -1e9
         # Requests of shards held here, for the next hint.
         self.own_requests: list[RoomRequest] = []
@@ -174,6 +174,6 @@
             else:
                 machine.handing_over = False
 
-        key = MACHINE + machine.name
-        conditions = [(key, stamp), (HOLDER + shard.name, shard.term)]
+        key = MACHINE_PREFIX + machine.name
+        conditions = [(key, stamp), (HOLDER_PREFIX + shard.name, shard.term)]
         self.context.commit(conditions, [wire.Put(key, record)], done)
--- a/sagecove/coordination/images.py
+++ b/sagecove/coordination/images.py
@@ -18,7 +18,7 @@
     type_allowed,
     unpromised_room,
 )
-from sagecove.protocol.peers import Warm
+from sagecove.protocol.peers import ImageRoom
 from sagecove.protocol.users import Job
 
 # Age at which a peer's free room is out of date: hints come once a second.
@@ -54,9 +54,9 @@
     def __init__(self, context: OwnerContext, ledger: Ledger) -> None:
         self.context = context
         self.ledger = ledger
-        self.poll_s = context.settings.poll_s
+        self.poll_s = context.settings.poll_interval_s
         # By peer: its free room by image as last received, and when that was.
-        self.peer_rooms: dict[str, tuple[list[Warm], float]] = {}
+        self.peer_rooms: dict[str, tuple[list[ImageRoom], float]] = {}
 
     def fetch_s(self, spec: Job) -> float:
         """How long a machine takes to fetch a job's image, with no other fetch beside it."""
@@ -67,7 +67,7 @@
         ]
         return spec.image_gb / max(rates) if rates else 0.0
 
-    def free_room_by_image(self) -> list[Warm]:
+    def free_room_by_image(self) -> list[ImageRoom]:
         """Free room on shards held here by image, zone and spot or on-demand, for peers.
 
         Images that are fetched within a poll are left out.
@@ -85,9 +85,9 @@
                         room = found.setdefault((image, record.zone, record.spot), [0.0, 0.0])
                         room[0] += cpus
                         room[1] += gpus
-        return [Warm(*key, round(cpus, 3), gpus) for key, (cpus, gpus) in found.items()]
+        return [ImageRoom(*key, round(cpus, 3), gpus) for key, (cpus, gpus) in found.items()]
 
-    def update_peer(self, now: float, node: str, warm: list[Warm]) -> None:
+    def update_peer(self, now: float, node: str, warm: list[ImageRoom]) -> None:
         """Replace what is known of a peer's free room by image."""
         self.peer_rooms[node] = warm, now
 
--- a/sagecove/coordination/interfaces.py
+++ b/sagecove/coordination/interfaces.py
@@ -95,7 +95,7 @@
     def commit(
         self,
         conditions: list[tuple[str, int]],
-        changes: list[wire.Put | wire.Drop],
+        changes: list[wire.Put | wire.Delete],
         done: Callable[[Result], None],
         *,
         urgent: bool = False,
@@ -135,7 +135,7 @@
         """Return how many tasks of a job have no room in a shard, even if it were empty."""
 
 
-class MirrorSync(Protocol):
+class SyncRequests(Protocol):
     """Keeps the mirror of the state service up to date."""
 
     def request_sync(self) -> None:
@@ -154,7 +154,7 @@
     """Extra conditions and changes of a submission's transaction, beside the job's own record."""
 
     conditions: list[tuple[str, int]]
-    changes: list[wire.Put | wire.Drop]
+    changes: list[wire.Put | wire.Delete]
 
 
 class Feature(Protocol):
--- a/sagecove/coordination/inventory.py
+++ b/sagecove/coordination/inventory.py
@@ -74,7 +74,7 @@
             return
         record: records.MachineRecord = event.value
         if machine is None:
-            machine = Machine(name, record, event.stamp, self.context.now)
+            machine = Machine(name, record, event.revision, self.context.now)
             self.context.machines[name] = machine
         else:
             if machine.record.shard != record.shard:
@@ -83,7 +83,7 @@
                 machine.record = record
                 machine.reset(self.context.now)
             machine.record = record
-            machine.stamp = event.stamp
+            machine.stamp = event.revision
             machine.handing_over = False
         self._set_machine_type(machine)
         self.context.machines_by_shard.setdefault(record.shard, {})[name] = machine
--- a/sagecove/coordination/leadership.py
+++ b/sagecove/coordination/leadership.py
@@ -22,15 +22,15 @@
 from sagecove.protocol import state as wire
 from sagecove.protocol.peers import Promise
 from sagecove.storage.records import (
-    HOLDER,
-    LAST,
-    MEMBER,
-    PROVISIONER,
+    HOLDER_PREFIX,
+    LAST_HOLDER_PREFIX,
+    MEMBER_PREFIX,
+    PROVISIONER_KEY,
     HolderRecord,
-    LastRecord,
+    LastHolderRecord,
     MemberRecord,
 )
-from sagecove.storage.store import Outcome, Result, decode
+from sagecove.storage.store import Outcome, Result, decode_answer
 
 if TYPE_CHECKING:
     from sagecove.coordination.owner import Owner
@@ -114,7 +114,7 @@
         # A longer promise is cut to this controller's own lease length, which is what covers a
         # cancellation that the peer confirms later.
         promise_s = min(promise.for_s, self.lease_s)
-        self.peer_promises[node] = sent_at + promise_s * (1 - owner.settings.drift)
+        self.peer_promises[node] = sent_at + promise_s * (1 - owner.settings.clock_drift_ratio)
         if all(peer.node in self.peer_promises for peer in owner.settings.peers) and self.may_act(
             owner.now
         ):
@@ -122,7 +122,9 @@
 
     def may_act_until(self) -> float:
         """Return the time after which this controller must not act."""
-        mirror_until = self.owner.sync.synced_at + self.lease_s * (1 - self.owner.settings.drift)
+        mirror_until = self.owner.sync.synced_at + self.lease_s * (
+            1 - self.owner.settings.clock_drift_ratio
+        )
         return max(min(self.lease_until, mirror_until), self.promises_until)
 
     def may_act(self, now: float) -> bool:
@@ -136,25 +138,25 @@
         if self.lease_id is None:
             if not self.grant_pending and now >= self.next_renewal_at:
                 self.grant_pending = True
-                self.owner.store.grant(now, self.lease_s, self._on_granted(now))
+                self.owner.store.grant_lease(now, self.lease_s, self._on_granted(now))
             return
         if now >= self.next_renewal_at and not self.renewal_pending:
             self.renewal_pending = True
             # A refused renewal is retried sooner, because the first one after an outage decides
             # whether the lease survives.
             self.next_renewal_at = now + self.lease_s / 8
-            self.owner.store.renew(now, self.lease_id, self._on_renewed(now, self.lease_id))
+            self.owner.store.renew_lease(now, self.lease_id, self._on_renewed(now, self.lease_id))
         if self.owner.mirror.loaded and now < self.lease_until:
             self._take_missing_shards(now)
             self._hand_back_shards(now)
 
     def _estimate_expiry(self, sent_at: float) -> float:
-        return sent_at + self.lease_s * (1 - self.owner.settings.drift) - 0.05
+        return sent_at + self.lease_s * (1 - self.owner.settings.clock_drift_ratio) - 0.05
 
     def _on_granted(self, sent_at: float) -> Callable[[int | None, bytes], None]:
         def done(status: int | None, body: bytes) -> None:
             self.grant_pending = False
-            answer = decode(body, wire.Granted) if status == 200 else None
+            answer = decode_answer(body, wire.Granted) if status == 200 else None
             if answer is None:
                 self.next_renewal_at = self.owner.now + self.lease_s / 16
                 return
@@ -204,16 +206,18 @@
             self.member_recorded = False
         if not self.member_recorded:
             self.member_recorded = True
-            changes: list[wire.Put | wire.Drop] = [
+            changes: list[wire.Put | wire.Delete] = [
                 wire.Put(
-                    MEMBER + node, MemberRecord(self.lease_id, self.published_limits), self.lease_id
+                    MEMBER_PREFIX + node,
+                    MemberRecord(self.lease_id, self.published_limits),
+                    self.lease_id,
                 )
             ]
             # The condition keeps an older write that is executed late from replacing a newer
             # record: the other controllers use the limits in it.
-            conditions = [(MEMBER + node, owner.mirror.stamp(MEMBER + node))]
+            conditions = [(MEMBER_PREFIX + node, owner.mirror.revision_of(MEMBER_PREFIX + node))]
             owner.commit(conditions, changes, self._on_member_written, urgent=True)
-        item = owner.mirror.items.get(HOLDER + node)
+        item = owner.mirror.items.get(HOLDER_PREFIX + node)
         if node not in owner.held_shards and (
             item is None or (item.value.node == node and item.value.lease != self.lease_id)
         ):
@@ -225,7 +229,7 @@
             self.owner.sync.request_sync()
 
     def _take_shard(self, shard: str) -> None:
-        key = HOLDER + shard
+        key = HOLDER_PREFIX + shard
         if key in self.pending_keys or self.lease_id is None:
             return
         self.pending_keys.add(key)
@@ -238,8 +242,11 @@
                 self.missing_since[shard] = owner.now + owner.random.uniform(0, self.lease_s / 16)
 
         node = owner.settings.node
-        last_key = LAST + shard
-        conditions = [(key, owner.mirror.stamp(key)), (last_key, owner.mirror.stamp(last_key))]
+        last_key = LAST_HOLDER_PREFIX + shard
+        conditions = [
+            (key, owner.mirror.revision_of(key)),
+            (last_key, owner.mirror.revision_of(last_key)),
+        ]
         previous = owner.mirror.items.get(key)
         is_ours = (previous.value.node if previous else self._last_holder(shard)) == node
         # No other controller can be acting for the shard if this node was its last holder or if
@@ -248,9 +255,9 @@
         # The last-holder record is written even if it already names this node. Otherwise this
         # transaction, executed late, could find the holder key absent and the record unchanged
         # after the default holder had taken, used and lost the shard in between.
-        changes: list[wire.Put | wire.Drop] = [
+        changes: list[wire.Put | wire.Delete] = [
             wire.Put(key, HolderRecord(node, self.lease_id, vacated), self.lease_id),
-            wire.Put(last_key, LastRecord(node)),
+            wire.Put(last_key, LastHolderRecord(node)),
         ]
         owner.commit(conditions, changes, done, urgent=True)
 
@@ -263,7 +270,7 @@
         The record is written together with the key, so a takeover by another controller in between
         makes a transaction that is conditional on it fail.
         """
-        item = self.owner.mirror.items.get(LAST + shard)
+        item = self.owner.mirror.items.get(LAST_HOLDER_PREFIX + shard)
         return item.value.node if item is not None and item.value is not None else None
 
     def _take_missing_shards(self, now: float) -> None:
@@ -271,7 +278,7 @@
         node = owner.settings.node
         self._retake_own_shard()
         for name in owner.settings.nodes:
-            key = HOLDER + name
+            key = HOLDER_PREFIX + name
             if key in owner.mirror.items:
                 self.missing_since.pop(name, None)
                 continue
@@ -284,7 +291,7 @@
                 name, now + owner.random.uniform(0, self.lease_s / 32)
             )
             # A default holder that is up takes its own shard: let it try first.
-            delay_s = self.lease_s / 8 if MEMBER + name in owner.mirror.items else 0.0
+            delay_s = self.lease_s / 8 if MEMBER_PREFIX + name in owner.mirror.items else 0.0
             if is_unused:
                 # The shard has no machines or claims, only a share of the limits. Wait a full lease
                 # length for a controller that is still starting or restarting.
@@ -298,40 +305,44 @@
             can_act = now >= self.own_promises_until or self._last_holder(name) == node or is_unused
             if can_act and now >= since + delay_s and now < self.may_act_until():
                 self._take_shard(name)
-        if PROVISIONER not in owner.mirror.items and self.lease_id is not None:
+        if PROVISIONER_KEY not in owner.mirror.items and self.lease_id is not None:
             since = self.missing_since.setdefault(
-                PROVISIONER, now + owner.random.uniform(0, self.lease_s / 16)
+                PROVISIONER_KEY, now + owner.random.uniform(0, self.lease_s / 16)
             )
-            if now >= since and PROVISIONER not in self.pending_keys:
-                self.pending_keys.add(PROVISIONER)
+            if now >= since and PROVISIONER_KEY not in self.pending_keys:
+                self.pending_keys.add(PROVISIONER_KEY)
 
                 def done(result: Result) -> None:
-                    self.pending_keys.discard(PROVISIONER)
-                    self.missing_since[PROVISIONER] = owner.now + self.lease_s / 16
+                    self.pending_keys.discard(PROVISIONER_KEY)
+                    self.missing_since[PROVISIONER_KEY] = owner.now + self.lease_s / 16
 
-                put = wire.Put(PROVISIONER, HolderRecord(node, self.lease_id), self.lease_id)
-                owner.commit([(PROVISIONER, 0)], [put], done, urgent=True)
+                put = wire.Put(PROVISIONER_KEY, HolderRecord(node, self.lease_id), self.lease_id)
+                owner.commit([(PROVISIONER_KEY, 0)], [put], done, urgent=True)
         else:
-            self.missing_since.pop(PROVISIONER, None)
+            self.missing_since.pop(PROVISIONER_KEY, None)
 
     def _foreign_shard_count(self) -> int:
         """Count the foreign shards that this controller holds or is about to take."""
         node = self.owner.settings.node
         names = {name for name in self.owner.held_shards if name != node}
-        taking = {key.removeprefix(HOLDER) for key in self.pending_keys if key.startswith(HOLDER)}
+        taking = {
+            key.removeprefix(HOLDER_PREFIX)
+            for key in self.pending_keys
+            if key.startswith(HOLDER_PREFIX)
+        }
         return len(names | (taking - {node}))
 
     def update_held_shards(self) -> None:
         """Gain and lose shards according to their holder keys in the mirror."""
         owner = self.owner
         for name in owner.settings.nodes:
-            item = owner.mirror.items.get(HOLDER + name)
+            item = owner.mirror.items.get(HOLDER_PREFIX + name)
             # A key bound to the lease of an earlier process of this node does not count.
             is_ours = (
                 item is not None and item.value.lease == self.lease_id and self.lease_id is not None
             )
             held = owner.held_shards.get(name)
-            if held is not None and (not is_ours or item is None or held.term != item.stamp):
+            if held is not None and (not is_ours or item is None or held.term != item.revision):
                 owner.shards.lose_shard(name)
                 held = None
             # The mirror must have been read up to the term. From that revision on, transactions of
@@ -340,15 +351,15 @@
                 is_ours
                 and item is not None
                 and held is None
-                and owner.mirror.applied >= item.stamp
+                and owner.mirror.applied >= item.revision
                 and (item.value.vacated or owner.now >= self.own_promises_until)
             ):
-                owner.shards.gain_shard(Shard(name, item.stamp, owner.now))
-        role = owner.mirror.items.get(PROVISIONER)
+                owner.shards.gain_shard(Shard(name, item.revision, owner.now))
+        role = owner.mirror.items.get(PROVISIONER_KEY)
         is_ours = (
             role is not None and role.value.lease == self.lease_id and self.lease_id is not None
         )
-        self.provisioner_term = role.stamp if is_ours and role is not None else 0
+        self.provisioner_term = role.revision if is_ours and role is not None else 0
 
     # -- hand-back ------------------------------------------------------------------------------
 
@@ -362,7 +373,7 @@
         for name, shard in list(owner.held_shards.items()):
             if name == owner.settings.node:
                 continue
-            item = owner.mirror.items.get(MEMBER + name)
+            item = owner.mirror.items.get(MEMBER_PREFIX + name)
             if item is None or item.value is None:
                 self.default_holder_up_since.pop(name, None)
                 if not shard.yielding:
@@ -371,18 +382,18 @@
                 since = self.default_holder_up_since.setdefault(name, now)
                 if now - since < self.lease_s / 8 and not shard.yielding:
                     continue
-            key = HOLDER + name
+            key = HOLDER_PREFIX + name
             if key in self.pending_keys:
                 continue
             # From here on this controller answers and sends nothing for the shard, whatever the
             # outcome of the transaction, because it may be executed long after it was sent.
             shard.yielding = True
             self.pending_keys.add(key)
-            changes: list[wire.Put | wire.Drop] = []
+            changes: list[wire.Put | wire.Delete] = []
             if item is not None and item.value is not None:
                 lease = item.value.lease
                 changes.append(wire.Put(key, HolderRecord(name, lease, True), lease))
-                changes.append(wire.Put(LAST + name, LastRecord(name)))
+                changes.append(wire.Put(LAST_HOLDER_PREFIX + name, LastHolderRecord(name)))
             else:
                 assert self.lease_id is not None
                 node, lease = owner.settings.node, self.lease_id
--- a/sagecove/coordination/limits/split_proposer.py
+++ b/sagecove/coordination/limits/split_proposer.py
@@ -25,7 +25,7 @@
 from sagecove.coordination.model import Shard, to_millionths
 from sagecove.protocol import state as state_protocol
 from sagecove.storage.mirror import Mirror
-from sagecove.storage.records import HOLDER, MEMBER
+from sagecove.storage.records import HOLDER_PREFIX, MEMBER_PREFIX
 from sagecove.storage.store import Outcome, Result
 
 log = logging.getLogger("sagecove.limits")
@@ -54,7 +54,7 @@
         self.transfer_writer = transfer_writer
         self.commit = commit
         self.random = random
-        self.poll_s = settings.poll_s
+        self.poll_s = settings.poll_interval_s
         self.configured = {
             team.name: (to_millionths(team.cpus_max), to_millionths(team.gpus_max))
             for team in settings.params.teams
@@ -98,7 +98,9 @@
             if self.propose_at is None:
                 # Controllers propose one after the other: of simultaneous proposals all but one
                 # would fail.
-                running = sorted(n for n in self.settings.nodes if MEMBER + n in self.mirror.items)
+                running = sorted(
+                    n for n in self.settings.nodes if MEMBER_PREFIX + n in self.mirror.items
+                )
                 position = (
                     running.index(self.settings.node)
                     if self.settings.node in running
@@ -118,11 +120,11 @@
                 self.propose_at = now + self.random.uniform(0.5, 1.0) * self.poll_s
                 self.transfer_writer.request_sync()
 
-        conditions = [(HOLDER + shard.name, shard.term)]
-        changes: list[state_protocol.Put | state_protocol.Drop] = []
+        conditions = [(HOLDER_PREFIX + shard.name, shard.term)]
+        changes: list[state_protocol.Put | state_protocol.Delete] = []
         for team, split in new_splits.items():
             key = LIMIT_SPLIT_PREFIX + team
-            conditions.append((key, self.mirror.stamp(key)))
+            conditions.append((key, self.mirror.revision_of(key)))
             changes.append(state_protocol.Put(key, split))
             log.info("settlement team=%s limit=%s", team, split.limit)
         self.commit(conditions, changes, done)
@@ -137,7 +139,7 @@
         if split is None:
             return target
         for node in self.settings.nodes[1:]:
-            item = self.mirror.items.get(MEMBER + node)
+            item = self.mirror.items.get(MEMBER_PREFIX + node)
             if item is not None and item.value is not None:
                 # A member record lists only limits that differ from the agreed ones.
                 target = minimum(target, item.value.limits.get(team, split.limit))
--- a/sagecove/coordination/limits/team_limits.py
+++ b/sagecove/coordination/limits/team_limits.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Protocol
 
-from sagecove.config import UNLIMITED, Settings, Team
+from sagecove.config import UNLIMITED_AMOUNT, Settings, Team
 from sagecove.coordination.limits.claim_totals import ClaimTotals
 from sagecove.coordination.limits.records import (
     LIMIT_SPLIT_PREFIX,
@@ -29,7 +29,7 @@
 from sagecove.protocol.peers import CompletedClaims, ShareRequest
 from sagecove.protocol.users import Job
 from sagecove.storage.mirror import Event, Mirror
-from sagecove.storage.records import MEMBER
+from sagecove.storage.records import MEMBER_PREFIX
 
 log = logging.getLogger("sagecove.limits")
 
@@ -38,7 +38,7 @@
 # A team is near its limit unless more than this fraction of the limit is unclaimed.
 NEAR_LIMIT_FRACTION = 0.25
 # The amount that stands for no limit.
-UNLIMITED_MILLIONTHS = to_millionths(UNLIMITED)
+UNLIMITED_MILLIONTHS = to_millionths(UNLIMITED_AMOUNT)
 # This fraction of a limit may have been freed by completions that are not known here yet.
 UNKNOWN_COMPLETIONS_FRACTION = 1 / 16
 
@@ -87,7 +87,7 @@
         )
         self.share_requests = ShareRequests(
             self.split_proposer.poll_s,
-            lambda: [node for node in settings.nodes[1:] if MEMBER + node in mirror.items],
+            lambda: [node for node in settings.nodes[1:] if MEMBER_PREFIX + node in mirror.items],
         )
 
     # -- queries ----------------------------------------------------------------------------------
@@ -267,7 +267,7 @@
             if (shares := self.team_shares.get(team)) is None:
                 return
             shares.split = value
-            shares.epoch = event.stamp if value is not None else 0
+            shares.epoch = event.revision if value is not None else 0
             shares.clear_cache()
         else:
             team, _, shard = key[len(TRANSFERS_PREFIX) :].rpartition("/")
--- a/sagecove/coordination/limits/transfer_writer.py
+++ b/sagecove/coordination/limits/transfer_writer.py
@@ -12,13 +12,13 @@
 from sagecove.coordination.model import Shard
 from sagecove.protocol import state as state_protocol
 from sagecove.storage.mirror import Mirror
-from sagecove.storage.records import HOLDER
+from sagecove.storage.records import HOLDER_PREFIX
 from sagecove.storage.store import Outcome, Result
 
 Commit = Callable[
     [
         list[tuple[str, int]],
-        "list[state_protocol.Put | state_protocol.Drop]",
+        "list[state_protocol.Put | state_protocol.Delete]",
         Callable[[Result], None],
     ],
     None,
@@ -47,7 +47,7 @@
         """Write a shard's transfer record; it limits the share until the outcome is known."""
         shares = self.team_shares[team]
         key = transfers_key(team, shard.name)
-        conditions = [(key, self.mirror.stamp(key)), (HOLDER + shard.name, shard.term)]
+        conditions = [(key, self.mirror.revision_of(key)), (HOLDER_PREFIX + shard.name, shard.term)]
         shares.pending[shard.name] = record
         shares.clear_cache()
         uncertain = False
--- a/sagecove/coordination/mirror_sync.py
+++ b/sagecove/coordination/mirror_sync.py
@@ -9,7 +9,7 @@
 from sagecove.protocol import state as wire
 from sagecove.storage import records
 from sagecove.storage.mirror import Event, Item
-from sagecove.storage.store import decode
+from sagecove.storage.store import decode_answer
 
 if TYPE_CHECKING:
     from sagecove.coordination.owner import Owner
@@ -50,10 +50,10 @@
         self.loaded_items = {}
         self.load_revision = 0
         self.load_started_at = now
-        self.owner.store.page(now, records.LIVE, "", self._on_page)
+        self.owner.store.read_page(now, records.LIVE_PREFIX, "", self._on_page)
 
     def _on_page(self, status: int | None, body: bytes) -> None:
-        page = decode(body, wire.Page) if status == 200 else None
+        page = decode_answer(body, wire.Page) if status == 200 else None
         if page is None:
             self.loading = False
             self.next_load_at = self.owner.now + self.owner.random.uniform(0.2, 0.5)
@@ -67,7 +67,9 @@
             self._track_readable(pair.key, value)
             self.loaded_items[pair.key] = Item(value, pair.version)
         if page.more and page.items:
-            self.owner.store.page(self.owner.now, records.LIVE, page.items[-1].key, self._on_page)
+            self.owner.store.read_page(
+                self.owner.now, records.LIVE_PREFIX, page.items[-1].key, self._on_page
+            )
             return
         self.loading = False
         events = self.owner.mirror.differences(self.loaded_items, self.load_revision)
@@ -87,7 +89,7 @@
         """
         if value is not None:
             self.unreadable_job_keys.discard(key)
-        elif key.startswith(records.JOB) and key not in self.unreadable_job_keys:
+        elif key.startswith(records.JOB_PREFIX) and key not in self.unreadable_job_keys:
             log.error("unreadable record key=%s", key)
             self.unreadable_job_keys.add(key)
 
@@ -96,7 +98,11 @@
         self.watching = True
         wait_s = min(30.0, self.owner.leadership.lease_s / 2)
         self.owner.store.watch(
-            now, records.LIVE, self.owner.mirror.applied, wait_s, self._on_changes(now, False)
+            now,
+            records.LIVE_PREFIX,
+            self.owner.mirror.applied,
+            wait_s,
+            self._on_changes(now, False),
         )
 
     def request_sync(self) -> None:
@@ -118,7 +124,7 @@
         # request budget.
         self.next_sync_at = now + 5 / self.owner.store.requests.rate
         self.owner.store.watch(
-            now, records.LIVE, self.owner.mirror.applied, 0.0, self._on_changes(now, True)
+            now, records.LIVE_PREFIX, self.owner.mirror.applied, 0.0, self._on_changes(now, True)
         )
 
     def _on_changes(self, started_at: float, is_sync: bool) -> ResponseCallback:
@@ -131,7 +137,7 @@
                 self.watching = False
                 # Changes are frequent: wait, so that each answer contains several of them.
                 self.next_watch_at = self.owner.now + 5 / self.owner.store.requests.rate
-            answer = decode(body, wire.Changes) if status == 200 else None
+            answer = decode_answer(body, wire.Changes) if status == 200 else None
             if answer is not None:
                 for change in answer.events:
                     if change.version <= self.owner.mirror.applied:
@@ -169,7 +175,7 @@
         return done
 
     def _advance(self, revision: int, started_at: float) -> None:
-        self.owner.mirror.advance(revision)
+        self.owner.mirror.advance_to(revision)
         self.synced_at = max(self.synced_at, started_at)
         self.owner.cancellations.drop_old_reports(started_at)
         self.owner.leadership.update_held_shards()
--- a/sagecove/coordination/model.py
+++ b/sagecove/coordination/model.py
@@ -8,7 +8,7 @@
 
 from sagecove.protocol import workers as worker_protocol
 from sagecove.protocol.cloud import MachineType
-from sagecove.protocol.users import ARRAY, GANG, PRIORITIES, SERVICE, Job
+from sagecove.protocol.users import ARRAY, GANG, PRIORITY_RANKS, SERVICE, Job
 from sagecove.storage import taskset
 from sagecove.storage.records import JobRecord, MachineRecord
 
@@ -104,7 +104,7 @@
         self.id = record.spec.id
         self.submitted_at = record.at
         self.all_tasks = taskset.full(self.spec.tasks)
-        self.priority = PRIORITIES[self.spec.priority]
+        self.priority = PRIORITY_RANKS[self.spec.priority]
         kind = self.spec.kind
         # Plain attributes, because a scheduling pass reads them for every job.
         self.array, self.gang, self.service = kind == ARRAY, kind == GANG, kind == SERVICE
--- a/sagecove/coordination/owner.py
+++ b/sagecove/coordination/owner.py
@@ -281,7 +281,7 @@
     ) -> None:
         def answered(status: int | None, raw: bytes) -> None:
             if status == 429:
-                self.store.throttled(self.now, self.random.uniform(0.05, 0.25))
+                self.store.pause_after_throttling(self.now, self.random.uniform(0.05, 0.25))
                 self.count("throttled")
             done(status, raw)
 
@@ -290,7 +290,7 @@
     def commit(
         self,
         conditions: list[tuple[str, int]],
-        changes: list[wire.Put | wire.Drop],
+        changes: list[wire.Put | wire.Delete],
         done: Callable[[Result], None],
         *,
         urgent: bool = False,
@@ -302,10 +302,10 @@
                 for change in changes:
                     key = change.key
                     value = change.value if isinstance(change, wire.Put) else None
-                    if key.startswith(records.LIVE):
+                    if key.startswith(records.LIVE_PREFIX):
                         self.apply_event(Event(key, value, result.revision))
-                    elif isinstance(value, records.OverRecord):
-                        job_id = key[len(records.OVER) :]
+                    elif isinstance(value, records.FinalStateRecord):
+                        job_id = key[len(records.FINAL_STATE_PREFIX) :]
                         self.users.remember_final_state(
                             job_id, value.state, value.tasks, result.revision
                         )
@@ -322,8 +322,8 @@
         done: Callable[[Result], None],
     ) -> None:
         """Write a machine's record, on condition that this controller still holds its shard."""
-        key = records.MACHINE + name
-        conditions = [(key, stamp), (records.HOLDER + shard.name, shard.term)]
+        key = records.MACHINE_PREFIX + name
+        conditions = [(key, stamp), (records.HOLDER_PREFIX + shard.name, shard.term)]
         self.commit(conditions, [wire.Put(key, record)], done)
 
     # -- the mirror -----------------------------------------------------------------------------
@@ -334,20 +334,20 @@
         if not self.mirror.apply(event):
             return
         self.pass_needed = True
-        if key.startswith(records.JOB):
-            self._job_changed(key[len(records.JOB) :], event)
-        elif key.startswith(records.RENTAL):
+        if key.startswith(records.JOB_PREFIX):
+            self._job_changed(key[len(records.JOB_PREFIX) :], event)
+        elif key.startswith(records.RENTAL_PREFIX):
             if event.value is None:
                 self.rentals.pop(key, None)
             else:
                 self.rentals[key] = self.mirror.items[key]
-        elif key.startswith(records.MACHINE):
-            self.inventory.machine_changed(key[len(records.MACHINE) :], event)
-        elif key == records.TYPES and event.value is not None:
+        elif key.startswith(records.MACHINE_PREFIX):
+            self.inventory.machine_changed(key[len(records.MACHINE_PREFIX) :], event)
+        elif key == records.MACHINE_TYPES_KEY and event.value is not None:
             self.inventory.types_changed(event.value.types)
         elif key.startswith((TRANSFERS_PREFIX, LIMIT_SPLIT_PREFIX)):
             self.limits.apply_event(event, self.now)
-        elif key.startswith(records.HOLDER):
+        elif key.startswith(records.HOLDER_PREFIX):
             if event.value is None:
                 self.leadership.update_held_shards()
         else:
@@ -357,7 +357,7 @@
 
     def parse(self, key: str, raw: Any) -> Any:
         """Convert a decoded JSON value to the record type of its key (core or feature)."""
-        return records.parse(key, raw, self.record_kinds)
+        return records.parse_record(key, raw, self.record_kinds)
 
     def _job_changed(self, job_id: str, event: Event) -> None:
         job = self.jobs.get(job_id)
@@ -366,9 +366,9 @@
                 self.job_over(job)
             return
         if job is None:
-            self.job_seen(JobRun(event.value, event.stamp))
+            self.job_seen(JobRun(event.value, event.revision))
         else:
-            job.apply_record(event.value, event.stamp)
+            job.apply_record(event.value, event.revision)
             self.backlog.reclassify(job)
             self.ledger.update_claims(job)
 
@@ -378,7 +378,7 @@
         self.jobs_changed = True
         job.first_seen_at = job.wait_logged_at = self.now
         # A random delay, so that not all controllers try to claim the job at the same moment.
-        job.claim_after = self.now + self.random.uniform(0.0, self.settings.poll_s / 6)
+        job.claim_after = self.now + self.random.uniform(0.0, self.settings.poll_interval_s / 6)
         self.estimates.note_arrival_time(job)
         self.guarantees.add_job(job)
         for feature in self.features:
--- a/sagecove/coordination/peers.py
+++ b/sagecove/coordination/peers.py
@@ -21,9 +21,9 @@
     Promise,
     ShareRequest,
     ShareRequestList,
-    read_hint,
-    read_promise,
-    read_wants,
+    decode_hint,
+    decode_promise,
+    decode_share_requests,
 )
 from sagecove.protocol.users import Refusal
 
@@ -162,7 +162,7 @@
     def _on_hint_answered(self, node: str, sent_at: float) -> ResponseCallback:
         def done(status: int | None, body: bytes) -> None:
             try:
-                answer = read_promise(body) if status == 200 else None
+                answer = decode_promise(body) if status == 200 else None
             except (msgspec.MsgspecError, UnicodeDecodeError) as error:
                 log.info("unreadable promise node=%s why=%s", node, error)
                 answer = None
@@ -186,11 +186,11 @@
             return
         try:
             if request.path == "/wants":
-                request_list = read_wants(request.body)
+                request_list = decode_share_requests(request.body)
                 self._receive_share_requests(request_list.node, request_list.wants)
                 self.owner.effects.append(Reply(request.exchange, 200, Promise()))
                 return
-            hint = read_hint(request.body)
+            hint = decode_hint(request.body)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             self._log_invalid(f"unreadable {request.path} why={error}")
             self.owner.effects.append(Reply(request.exchange, 400, Refusal("unreadable")))
--- a/sagecove/coordination/preemption_policy.py
+++ b/sagecove/coordination/preemption_policy.py
@@ -85,7 +85,7 @@
         if job.within_guarantee:
             # Waiting for one run of the job's own tasks is too long here: an array of endless tasks
             # waited without end for other teams' tasks that held its team's guarantee.
-            left_s = self.guarantee_wait_s - age_s - self.context.settings.poll_s
+            left_s = self.guarantee_wait_s - age_s - self.context.settings.poll_interval_s
         for due in self.estimates.target_ages_s(job):
             if age_s + run_s <= due:
                 left_s = min(left_s, due - age_s - run_s)
--- a/sagecove/coordination/provisioner.py
+++ b/sagecove/coordination/provisioner.py
@@ -24,18 +24,18 @@
 from sagecove.protocol import state as wire
 from sagecove.protocol.cloud import MachineType
 from sagecove.protocol.users import GANG, Job
-from sagecove.storage.budget import Budget
+from sagecove.storage.budget import TokenBucket
 from sagecove.storage.records import (
-    HOLDER,
-    MACHINE,
-    PROVISIONER,
-    RENTAL,
-    TYPES,
+    HOLDER_PREFIX,
+    MACHINE_PREFIX,
+    MACHINE_TYPES_KEY,
+    PROVISIONER_KEY,
+    RENTAL_PREFIX,
     MachineRecord,
+    MachineTypesRecord,
     RentalRecord,
-    TypesRecord,
 )
-from sagecove.storage.store import Outcome, Result, decode
+from sagecove.storage.store import Outcome, Result, decode_answer
 
 if TYPE_CHECKING:
     from sagecove.coordination.owner import Owner
@@ -173,7 +173,7 @@
     def __init__(self, owner: Owner) -> None:
         self.owner = owner
         rps = owner.settings.params.cloud.rps
-        self.budget = Budget(rps * 0.9, rps * 1.8, owner.now)
+        self.budget = TokenBucket(rps * 0.9, rps * 1.8, owner.now)
         self.types_requested_at = -1e9
         self.list_requested_at = -1e9
         self.next_rent_check_at = 0.0
@@ -181,7 +181,7 @@
         self.rental_count = 0
         # When (type, zone, spot) combinations without capacity may be tried again.
         self.no_capacity_until: dict[tuple[str, str, bool], float] = {}
-        self.listed_machines: list[cloud_protocol.Listed] = []
+        self.listed_machines: list[cloud_protocol.ListedMachine] = []
         # Deleted machines whose records are being removed.
         self.removing_records: set[str] = set()
         self.term = 0
@@ -231,7 +231,7 @@
         Return whether the call was made.
         """
         owner = self.owner
-        if name in self.open_operations or self.budget.delay(owner.now) > 0:
+        if name in self.open_operations or self.budget.seconds_until_available(owner.now) > 0:
             return False
         self.budget.spend(owner.now)
         self.open_operations.add(name)
@@ -247,12 +247,12 @@
 
     def _types_received(self, status: int | None, body: bytes) -> None:
         owner = self.owner
-        answer = decode(body, cloud_protocol.Types) if status == 200 else None
+        answer = decode_answer(body, cloud_protocol.Types) if status == 200 else None
         if answer is None or not answer.types:
             self.types_requested_at = owner.now - 58.0
             return
-        record = TypesRecord(answer.types)
-        self._commit([wire.Put(TYPES, record)], [], lambda _: None)
+        record = MachineTypesRecord(answer.types)
+        self._commit([wire.Put(MACHINE_TYPES_KEY, record)], [], lambda _: None)
 
     # -- list of machines -----------------------------------------------------------------------
 
@@ -261,14 +261,14 @@
         self._call_cloud(
             "list",
             "GET",
-            f"/machines?{start}most={cloud_protocol.LIST_MOST}",
+            f"/machines?{start}most={cloud_protocol.LIST_PAGE_COUNT}",
             None,
             self._page_received,
         )
 
     def _page_received(self, status: int | None, body: bytes) -> None:
         owner = self.owner
-        page = decode(body, cloud_protocol.Listing) if status == 200 else None
+        page = decode_answer(body, cloud_protocol.Listing) if status == 200 else None
         if page is None:
             return
         self.listed_machines += page.machines
@@ -298,9 +298,13 @@
         new = MachineRecord(
             record.type, record.zone, record.spot, record.shard, record.addr, record.at, why
         )
-        self._commit([wire.Put(MACHINE + name, new)], [(MACHINE + name, stamp)], lambda _: None)
+        self._commit(
+            [wire.Put(MACHINE_PREFIX + name, new)], [(MACHINE_PREFIX + name, stamp)], lambda _: None
+        )
 
-    def _adopt_unexpected(self, machine: cloud_protocol.Listed, sizes: dict[str, int]) -> None:
+    def _adopt_unexpected(
+        self, machine: cloud_protocol.ListedMachine, sizes: dict[str, int]
+    ) -> None:
         """Add a record for a listed machine without one, left by a lost or late rental answer."""
         owner = self.owner
         deleted_at = owner.workers.deleted_at.get(machine.name)
@@ -321,7 +325,7 @@
             "failed" if machine.state == "failed" else "",
         )
         log.info("unexpected machine adopted machine=%s", machine.name)
-        key = MACHINE + machine.name
+        key = MACHINE_PREFIX + machine.name
         self._commit([wire.Put(key, record)], [(key, 0)], lambda _: None)
 
     # -- deletion -------------------------------------------------------------------------------
@@ -334,21 +338,21 @@
         names = [name for name in owner.inventory.leaving if name not in self.removing_records]
         if not names or "delete" in self.open_operations:
             return
-        names = sorted(names)[: cloud_protocol.DELETE_MOST]
+        names = sorted(names)[: cloud_protocol.DELETE_MAX_COUNT]
 
         def done(status: int | None, body: bytes) -> None:
             if status != 200:
                 return
             for start in range(0, len(names), 8):
                 part = names[start : start + 8]
-                drops: list[wire.Put | wire.Drop] = []
+                drops: list[wire.Put | wire.Delete] = []
                 conditions = []
                 self.removing_records.update(part)
                 for name in part:
                     machine = owner.machines.get(name)
                     if machine is not None:
-                        drops.append(wire.Drop(MACHINE + name))
-                        conditions.append((MACHINE + name, machine.stamp))
+                        drops.append(wire.Delete(MACHINE_PREFIX + name))
+                        conditions.append((MACHINE_PREFIX + name, machine.stamp))
                 if drops:
                     self._commit(drops, conditions, self._removal_finished(part))
                 else:
@@ -377,7 +381,7 @@
     def _shard_sizes(self) -> dict[str, int]:
         """Return the number of machines of each shard that has a holder."""
         owner = self.owner
-        up = [n for n in owner.settings.nodes if HOLDER + n in owner.mirror.items]
+        up = [n for n in owner.settings.nodes if HOLDER_PREFIX + n in owner.mirror.items]
         return {n: len(owner.machines_by_shard.get(n, {})) for n in up or [owner.settings.node]}
 
     def _assign_shards(self, shard: str, count: int) -> list[str]:
@@ -483,7 +487,7 @@
             if now >= job.hold_until and not any(machine_allowed(job.spec, m) for m in usable):
                 self._place_or_rent(job, 1, None, expected, rentals_needed, now)
         for (name, zone, spot, shard), count in rentals_needed.items():
-            self.write_rental(name, zone, spot, min(count, cloud_protocol.RENT_MOST), shard)
+            self.write_rental(name, zone, spot, min(count, cloud_protocol.RENT_MAX_COUNT), shard)
 
     def _gang_home_shards(self, jobs: list[JobRun], expected: ExpectedFleet) -> dict[str, str]:
         """Return the shards that serve gangs of whole machines, by job.
@@ -713,13 +717,15 @@
         self.rental_count += 1
         name = f"h{self.term}-{self.rental_count}.{shard}"
         record = RentalRecord(kind, zone, spot, count, owner.wall())
-        self._commit([wire.Put(RENTAL + name, record)], [(RENTAL + name, 0)], lambda _: None)
+        self._commit(
+            [wire.Put(RENTAL_PREFIX + name, record)], [(RENTAL_PREFIX + name, 0)], lambda _: None
+        )
 
     def _send_rentals(self, now: float) -> None:
         """Send every recorded rental to the cloud, under its name, until its answer is recorded."""
         owner = self.owner
         for key, item in list(owner.rentals.items()):
-            name = key[len(RENTAL) :]
+            name = key[len(RENTAL_PREFIX) :]
             record: RentalRecord = item.value
             call = "rent:" + name
             if call in self.open_operations:
@@ -728,21 +734,23 @@
                 # A refused rental is not sent again, since the protocol allows one repetition, not
                 # one at every tick. Its record remains to be removed, which may have failed before.
                 if now >= again:
-                    self._remove_refused_rental(key, item.stamp)
+                    self._remove_refused_rental(key, item.revision)
                 continue
-            body = cloud_protocol.Rent(name, record.type, record.zone, record.spot, record.count)
+            body = cloud_protocol.RentRequest(
+                name, record.type, record.zone, record.spot, record.count
+            )
             if not self._call_cloud(
-                call, "POST", "/machines", body, self._rental_answered(name, record, item.stamp)
+                call, "POST", "/machines", body, self._rental_answered(name, record, item.revision)
             ):
                 return
 
     def _rental_answered(self, name: str, record: RentalRecord, stamp: int) -> ResponseCallback:
         def done(status: int | None, body: bytes) -> None:
             owner = self.owner
-            key = RENTAL + name
+            key = RENTAL_PREFIX + name
             place = (record.type, record.zone, record.spot)
             if status == 200:
-                answer = decode(body, cloud_protocol.Names)
+                answer = decode_answer(body, cloud_protocol.Names)
                 if answer is None:
                     return
                 log.info(
@@ -780,7 +788,7 @@
             if result.outcome is Outcome.DONE:
                 self.refused_rentals.pop(key, None)
 
-        self._commit([wire.Drop(key)], [(key, stamp)], done)
+        self._commit([wire.Delete(key)], [(key, stamp)], done)
 
     def _write_rented_machines(
         self, key: str, stamp: int, record: RentalRecord, parts: list[list[tuple[str, str]]]
@@ -788,16 +796,16 @@
         """Write the rented machines' records part by part; the last part removes the rental."""
         owner = self.owner
         part, rest = parts[0], parts[1:]
-        changes: list[wire.Put | wire.Drop] = []
+        changes: list[wire.Put | wire.Delete] = []
         conditions = []
         for machine, shard in part:
             new = MachineRecord(record.type, record.zone, record.spot, shard, "", owner.wall())
-            changes.append(wire.Put(MACHINE + machine, new))
-            conditions.append((MACHINE + machine, 0))
+            changes.append(wire.Put(MACHINE_PREFIX + machine, new))
+            conditions.append((MACHINE_PREFIX + machine, 0))
         if not rest:
-            changes.append(wire.Drop(key))
+            changes.append(wire.Delete(key))
             conditions.append((key, stamp))
-        name = key[len(RENTAL) :]
+        name = key[len(RENTAL_PREFIX) :]
         self.open_operations.add("rent:" + name)
 
         def done(result: Result) -> None:
@@ -806,7 +814,7 @@
                 self._write_rented_machines(key, stamp, record, rest)
             elif result.outcome is Outcome.CONFLICT and key not in result.failed:
                 # Some machines came up at once and were adopted by the controller they reported to.
-                left = [(m, s) for m, s in part if MACHINE + m not in result.failed]
+                left = [(m, s) for m, s in part if MACHINE_PREFIX + m not in result.failed]
                 if len(left) < len(part):
                     self._write_rented_machines(key, stamp, record, [left, *rest])
 
@@ -814,12 +822,12 @@
 
     def _commit(
         self,
-        changes: list[wire.Put | wire.Drop],
+        changes: list[wire.Put | wire.Delete],
         conditions: list[tuple[str, int]],
         done: Callable[[Result], None],
     ) -> None:
         """Send a transaction that fails once another controller holds the provisioner role."""
-        self.owner.commit([*conditions, (PROVISIONER, self.term)], changes, done)
+        self.owner.commit([*conditions, (PROVISIONER_KEY, self.term)], changes, done)
 
 
 def _smallest_shard(counts: dict[str, int]) -> str:
--- a/sagecove/coordination/reachability.py
+++ b/sagecove/coordination/reachability.py
@@ -23,7 +23,7 @@
 from sagecove.coordination.interfaces import BaseContext, ResponseCallback
 from sagecove.coordination.model import LAUNCH_SENT, Machine, Placement
 from sagecove.protocol import workers as worker_protocol
-from sagecove.storage.store import decode
+from sagecove.storage.store import decode_answer
 
 log = logging.getLogger("sagecove.reach")
 
@@ -149,7 +149,7 @@
 
         def done(status: int | None, body: bytes) -> None:
             machine.show_request_open = False
-            report = decode(body, worker_protocol.Report) if status == 200 else None
+            report = decode_answer(body, worker_protocol.Report) if status == 200 else None
             if (
                 report is None
                 or report.machine != machine.name
--- a/sagecove/coordination/shards.py
+++ b/sagecove/coordination/shards.py
@@ -48,7 +48,7 @@
 
     def holder_of(self, shard: str) -> str | None:
         """Return the node that holds a shard according to the mirror, or None."""
-        item = self.owner.mirror.items.get(records.HOLDER + shard)
+        item = self.owner.mirror.items.get(records.HOLDER_PREFIX + shard)
         return item.value.node if item and item.value is not None else None
 
     def shard_in_use(self, shard: str) -> bool:
--- a/sagecove/coordination/task_ends.py
+++ b/sagecove/coordination/task_ends.py
@@ -37,7 +37,7 @@
         if job is None:
             return
         run_s = self.context.now - placement.running_at if placement.running_at else 0.0
-        if reason == worker_protocol.WHY_DONE:
+        if reason == worker_protocol.EXIT_DONE:
             count, cpu_s = self.completed.get(job.spec.klass, (0, 0.0))
             self.completed[job.spec.klass] = count + 1, cpu_s + run_s * job.spec.cpus
             return
--- a/sagecove/coordination/users.py
+++ b/sagecove/coordination/users.py
@@ -22,8 +22,14 @@
 from sagecove.protocol import users as user_protocol
 from sagecove.protocol.state import Pair
 from sagecove.storage import taskset
-from sagecove.storage.records import HOLDER, JOB, OVER, JobRecord, OverRecord
-from sagecove.storage.store import Outcome, Result, decode
+from sagecove.storage.records import (
+    FINAL_STATE_PREFIX,
+    HOLDER_PREFIX,
+    JOB_PREFIX,
+    FinalStateRecord,
+    JobRecord,
+)
+from sagecove.storage.store import Outcome, Result, decode_answer
 
 if TYPE_CHECKING:
     from sagecove.coordination.owner import Owner
@@ -85,9 +91,9 @@
         state, tasks = self.final_states[job_id]
         if kind == "status":
             done = tasks if state == user_protocol.DONE else 0
-            self.reply(exchange, 200, user_protocol.Status(job_id, state, done, 0))
+            self.reply(exchange, 200, user_protocol.JobStatus(job_id, state, done, 0))
         else:
-            self.reply(exchange, 200, user_protocol.Status(job_id, state))
+            self.reply(exchange, 200, user_protocol.JobStatus(job_id, state))
 
     def _reply_live_state(self, kind: str, job: JobRun, exchange: Any) -> None:
         owner = self.owner
@@ -96,9 +102,9 @@
         running += owner.peers.running_elsewhere(job.id)
         state = user_protocol.RUNNING if running else user_protocol.PENDING
         if kind == "status":
-            self.reply(exchange, 200, user_protocol.Status(job.id, state, done, running))
+            self.reply(exchange, 200, user_protocol.JobStatus(job.id, state, done, running))
         else:
-            self.reply(exchange, 200, user_protocol.Status(job.id, state))
+            self.reply(exchange, 200, user_protocol.JobStatus(job.id, state))
 
     # -- requests -------------------------------------------------------------------------------
 
@@ -106,7 +112,7 @@
         """Handle the submission of a job."""
         owner = self.owner
         try:
-            job = user_protocol.read_job(body)
+            job = user_protocol.decode_job(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
             self.reply(exchange, 400, user_protocol.Refusal(str(error)[:300]))
             return
@@ -180,13 +186,16 @@
         job_id = spec.id
         self.open_submissions[job_id] = [exchange]
         record = JobRecord(spec, owner.wall())
-        own_conditions = [(JOB + job_id, 0), (OVER + job_id, 0)]
-        guard_changes: list[wire.Put | wire.Drop] = []
+        own_conditions = [(JOB_PREFIX + job_id, 0), (FINAL_STATE_PREFIX + job_id, 0)]
+        guard_changes: list[wire.Put | wire.Delete] = []
         for guard in guards:
             own_conditions += guard.conditions
             guard_changes += guard.changes
         conditions = list(own_conditions)
-        changes: list[wire.Put | wire.Drop] = [wire.Put(JOB + job_id, record), *guard_changes]
+        changes: list[wire.Put | wire.Delete] = [
+            wire.Put(JOB_PREFIX + job_id, record),
+            *guard_changes,
+        ]
         job_run = JobRun(record, 0)
         job_run.first_seen_at = owner.now
         if job_run.service:
@@ -200,7 +209,7 @@
             if result.outcome is Outcome.CONFLICT and claim is not None:
                 own_keys = [key for key, _ in own_conditions]
                 if not any(key in own_keys for key in result.failed):
-                    put = wire.Put(JOB + job_id, record)
+                    put = wire.Put(JOB_PREFIX + job_id, record)
                     owner.commit(own_conditions, [put, *guard_changes], stored, urgent=True)
                     return
             stored(result)
@@ -216,9 +225,9 @@
                     spec.tasks,
                 )
                 for waiter in waiters[:1]:
-                    self.reply(waiter, 201, user_protocol.Status(job_id, user_protocol.PENDING))
+                    self.reply(waiter, 201, user_protocol.JobStatus(job_id, user_protocol.PENDING))
                 for waiter in waiters[1:]:
-                    self.reply(waiter, 200, user_protocol.Status(job_id, user_protocol.PENDING))
+                    self.reply(waiter, 200, user_protocol.JobStatus(job_id, user_protocol.PENDING))
             elif result.outcome is Outcome.CONFLICT:
                 for waiter in waiters:
                     self.answer_after_read("submit", job_id, waiter)
@@ -262,7 +271,7 @@
         count = scheduler.claimer.limit_to_record_size(job, count)
         bits = taskset.lowest(job.all_tasks, count)
         change = scheduler.claimer.claim_write(shard, job, bits)
-        return None if change is None else (change, (HOLDER + node, shard.term))
+        return None if change is None else (change, (HOLDER_PREFIX + node, shard.term))
 
     def status(self, job_id: str, exchange: Any) -> None:
         """Handle a status request for a job."""
@@ -277,7 +286,7 @@
     def answer_after_read(self, kind: str, job_id: str, exchange: Any) -> None:
         """Answer from memory if the state is final, else after a read that begins from now on."""
         owner = self.owner
-        if not user_protocol.JOB_ID.match(job_id):
+        if not user_protocol.JOB_ID_PATTERN.match(job_id):
             self.reply(exchange, 404, user_protocol.Refusal("no such job"))
         elif job_id in self.final_states:
             self._reply_final_state(kind, job_id, exchange)
@@ -319,11 +328,13 @@
                     self._cancel(job, exchange)
                 else:
                     self._reply_live_state(kind, job, exchange)
-            elif JOB + job_id in owner.sync.unreadable_job_keys:
+            elif JOB_PREFIX + job_id in owner.sync.unreadable_job_keys:
                 if kind == "cancel":
                     self.refuse_for_now(exchange, "the job's record can't be read here", 5.0)
                 else:
-                    self.reply(exchange, 200, user_protocol.Status(job_id, user_protocol.PENDING))
+                    self.reply(
+                        exchange, 200, user_protocol.JobStatus(job_id, user_protocol.PENDING)
+                    )
             elif job_id in self.final_states:
                 self._reply_final_state(kind, job_id, exchange)
             elif not any(f.answer_unknown_job(kind, job_id, exchange) for f in owner.features):
@@ -343,10 +354,10 @@
 
         def done(status: int | None, body: bytes) -> None:
             del self.open_reads[job_id]
-            pair = decode(body, Pair) if status == 200 else None
+            pair = decode_answer(body, Pair) if status == 200 else None
             if pair is not None:
                 try:
-                    record = msgspec.convert(pair.value, OverRecord)
+                    record = msgspec.convert(pair.value, FinalStateRecord)
                 except msgspec.ValidationError:
                     status = None
                 else:
@@ -371,7 +382,7 @@
             elif queued:
                 self._read_final_record(job_id, queued)
 
-        owner.store.read(owner.now, OVER + job_id, done)
+        owner.store.read(owner.now, FINAL_STATE_PREFIX + job_id, done)
 
     def _cancel(self, job: JobRun, exchange: Any) -> None:
         owner = self.owner
@@ -381,20 +392,23 @@
         # Not conditional on the record's revision: claims and results change it all the time, so
         # cancelling a job with many tasks conflicted without end. It is enough that the job was
         # accepted and is not over when the transaction is executed.
-        changes: list[wire.Put | wire.Drop] = [
-            wire.Drop(JOB + job.id),
-            wire.Put(OVER + job.id, OverRecord(user_protocol.CANCELLED, job.spec.tasks)),
+        changes: list[wire.Put | wire.Delete] = [
+            wire.Delete(JOB_PREFIX + job.id),
+            wire.Put(
+                FINAL_STATE_PREFIX + job.id,
+                FinalStateRecord(user_protocol.CANCELLED, job.spec.tasks),
+            ),
         ]
 
         def done(result: Result) -> None:
             if result.outcome is Outcome.DONE:
                 log.info("cancelled job=%s", job.id)
                 owner.peers.announce_cancellation(job.id)
-                self.reply(exchange, 200, user_protocol.Status(job.id, user_protocol.CANCELLED))
+                self.reply(exchange, 200, user_protocol.JobStatus(job.id, user_protocol.CANCELLED))
             elif result.outcome is Outcome.CONFLICT:
                 # The job is over.
                 self.answer_after_read("cancel", job.id, exchange)
             else:
                 self.refuse_state_unavailable(exchange)
 
-        owner.commit([(OVER + job.id, 0)], changes, done, urgent=True)
+        owner.commit([(FINAL_STATE_PREFIX + job.id, 0)], changes, done, urgent=True)
--- a/sagecove/coordination/workers.py
+++ b/sagecove/coordination/workers.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from sagecove.config import ANSWER_S
+from sagecove.config import WORKER_ANSWER_TIMEOUT_S
 from sagecove.coordination import images
 from sagecove.coordination.effects import Reply
 from sagecove.coordination.model import LAUNCH_SENT, Machine, Placement
@@ -23,8 +23,8 @@
 from sagecove.coordination.uncertain_launches import UncertainLaunches
 from sagecove.protocol import workers as worker_protocol
 from sagecove.protocol.users import Refusal
-from sagecove.storage.records import HOLDER, MachineRecord
-from sagecove.storage.store import Outcome, Result, decode
+from sagecove.storage.records import HOLDER_PREFIX, MachineRecord
+from sagecove.storage.store import Outcome, Result, decode_answer
 
 if TYPE_CHECKING:
     from sagecove.coordination.owner import Owner
@@ -52,11 +52,11 @@
         self.owner = owner
         worker_settings = owner.settings.params.workers
         self.worker_settings = worker_settings
-        drift = 1 + owner.settings.drift
+        drift = 1 + owner.settings.clock_drift_ratio
         # This long after the last answer a worker's lease has surely expired. Half a report's time
         # covers clock steps and network delay.
         self.lease_expiry_s = worker_settings.lease_s * drift + worker_settings.report_s / 2
-        self.call_timeout_s = ANSWER_S
+        self.call_timeout_s = WORKER_ANSWER_TIMEOUT_S
         # A machine that is silent for longer counts as dead. A worker that gets no answer from its
         # holder turns to the next controller after a report's time, the timeout of 4 s and a pause
         # of 1 s, plus the network delay.
@@ -84,16 +84,16 @@
     def handle_report(self, body: bytes, exchange: object, relayed: bool = False) -> None:
         """Process and answer a worker's report, sent directly or relayed by another controller."""
         owner = self.owner
-        reported_tasks: list[worker_protocol.Hand] | None = None
+        reported_tasks: list[worker_protocol.TaskReport] | None = None
         try:
-            report = worker_protocol.read_report(body)
+            report = worker_protocol.decode_report(body)
             machine = owner.machines.get(report.machine)
             if (
                 machine is None
                 or not machine.quiescent
                 or machine.last_task_list != bytes(report.tasks)
             ):
-                reported_tasks = worker_protocol.read_hands(report.tasks)
+                reported_tasks = worker_protocol.decode_task_reports(report.tasks)
         except (msgspec.MsgspecError, UnicodeDecodeError) as error:
             owner.effects.append(Reply(exchange, 400, Refusal(str(error)[:200])))
             return
@@ -148,11 +148,11 @@
         # command: its task list is old, but the worker still waits for this answer.
         machine.last_answer_at = now
         machine.answered_seq, machine.answered_token = report.seq, token
-        orders: list[worker_protocol.Order] = []
+        orders: list[worker_protocol.WorkerCommand] = []
         if machine.tasks_known and not machine.quiescent:
             orders = self.orders_for(machine, report.seq)
             machine.quiescent = not orders and self._has_nothing_due(machine)
-        owner.effects.append(Reply(exchange, 200, worker_protocol.Answer(token, orders)))
+        owner.effects.append(Reply(exchange, 200, worker_protocol.ReportAnswer(token, orders)))
         self.urgent_machines.pop(machine.name, None)
 
     def _handle_foreign_report(
@@ -177,7 +177,7 @@
         # A worker with the holder's present token has been answered by the holder. When two zones
         # could not reach each other, such workers were redirected back and waited another 4 s for
         # an answer; then their leases had expired, and their holders had returned them as silent.
-        holder_term = owner.mirror.stamp(HOLDER + machine.record.shard)
+        holder_term = owner.mirror.revision_of(HOLDER_PREFIX + machine.record.shard)
         holder_tried = holder_tried or report.token >= max(holder_term, machine.stamp)
         # A holder whose lease outlives its silence is alive and only cut off from its peers.
         holder_silent = (
@@ -333,7 +333,7 @@
 
         def on_show(status: int | None, answer: bytes) -> None:
             # A delayed copy of a report must not bring back a machine that is gone.
-            current = decode(answer, worker_protocol.Report) if status == 200 else None
+            current = decode_answer(answer, worker_protocol.Report) if status == 200 else None
             confirmed = current is not None and current.machine == name
             if confirmed and owner.held_shards.get(node) is shard and name not in owner.machines:
                 owner.put_machine(name, record, 0, shard, done)
@@ -362,7 +362,7 @@
         self,
         machine: Machine,
         report: worker_protocol.Report,
-        reported_tasks: list[worker_protocol.Hand] | None,
+        reported_tasks: list[worker_protocol.TaskReport] | None,
         token: int,
         via_hello: bool,
     ) -> None:
@@ -409,7 +409,7 @@
         if reported_tasks is None and machine.quiescent and machine.unreachable_since is None:
             return
         if reported_tasks is None:
-            reported_tasks = worker_protocol.read_hands(report.tasks)
+            reported_tasks = worker_protocol.decode_task_reports(report.tasks)
         machine.quiescent = False
         machine.last_task_list = bytes(report.tasks)
         first_list = not machine.tasks_known
@@ -464,7 +464,9 @@
             if job is not None and job.spec.checkpoint_s > 0 and placement.takes_room:
                 self.stop_task(placement, job.grace_s, "spot notice")
 
-    def _recognize_task(self, machine: Machine, reported: worker_protocol.Hand) -> Placement | None:
+    def _recognize_task(
+        self, machine: Machine, reported: worker_protocol.TaskReport
+    ) -> Placement | None:
         """Adopt a reported task that an earlier holder placed; None if it can't be such a task."""
         job_id, index = parse_task_name(reported.task)
         job = self.owner.jobs.get(job_id)
@@ -474,7 +476,7 @@
             return None
         if index in job.placed:
             return None
-        if reported.state == worker_protocol.EXITED and reported.why != worker_protocol.WHY_DONE:
+        if reported.state == worker_protocol.EXITED and reported.why != worker_protocol.EXIT_DONE:
             return None
         placement = Placement(job, index, reported.task, reported.attempt, machine)
         placement.started_at = self.owner.now
@@ -488,7 +490,7 @@
         return placement
 
     def _apply_task_state(
-        self, machine: Machine, placement: Placement, reported: worker_protocol.Hand
+        self, machine: Machine, placement: Placement, reported: worker_protocol.TaskReport
     ) -> None:
         owner = self.owner
         owner.ledger.set_task_state(placement, reported.state)
@@ -507,7 +509,7 @@
             return
         placement.exit_reason = reported.why
         owner.task_end_log.log_task_end(placement, reported.why, reported.saved)
-        if reported.why == worker_protocol.WHY_DONE:
+        if reported.why == worker_protocol.EXIT_DONE:
             owner.estimates.note_run_time(placement)
             owner.failures.task_completed(machine, job)
             if job.gang:
@@ -516,12 +518,12 @@
             else:
                 job.finished_unrecorded |= (1 << placement.index) & ~job.finished
         else:
-            if reported.why == worker_protocol.WHY_ERROR:
+            if reported.why == worker_protocol.EXIT_ERROR:
                 owner.failures.task_failed(placement)
             elif reported.why in (
-                worker_protocol.WHY_FULL,
-                worker_protocol.WHY_BUSY,
-                worker_protocol.WHY_UNKNOWN,
+                worker_protocol.EXIT_FULL,
+                worker_protocol.EXIT_BUSY,
+                worker_protocol.EXIT_UNKNOWN,
             ):
                 job.hold_until = max(job.hold_until, owner.now + self.worker_settings.report_s)
             if job.gang:
@@ -699,23 +701,23 @@
             return False
         job = placement.job
         if (
-            placement.exit_reason != worker_protocol.WHY_DONE
+            placement.exit_reason != worker_protocol.EXIT_DONE
             or job is None
             or job.id not in self.owner.jobs
         ):
             return True
         return bool(job.finished >> placement.index & 1)
 
-    def orders_for(self, machine: Machine, seq: int | None) -> list[worker_protocol.Order]:
+    def orders_for(self, machine: Machine, seq: int | None) -> list[worker_protocol.WorkerCommand]:
         """Commands for a worker, to answer report number `seq` or, if None, to be sent directly."""
         owner = self.owner
-        orders: list[worker_protocol.Order] = []
-        launches: list[worker_protocol.Order] = []
+        orders: list[worker_protocol.WorkerCommand] = []
+        launches: list[worker_protocol.WorkerCommand] = []
         for placement in machine.tasks.values():
             if placement.state == worker_protocol.EXITED:
                 if self.can_reap(placement):
                     orders.append(
-                        worker_protocol.Order(
+                        worker_protocol.WorkerCommand(
                             worker_protocol.REAP, placement.task, placement.attempt
                         )
                     )
@@ -724,7 +726,7 @@
                     continue
                 if placement.state != worker_protocol.SAVING or placement.stop_grace_s == 0:
                     orders.append(
-                        worker_protocol.Order(
+                        worker_protocol.WorkerCommand(
                             worker_protocol.HALT,
                             placement.task,
                             placement.attempt,
@@ -735,7 +737,9 @@
                 if placement.job.id not in owner.jobs:
                     continue
                 launches.append(
-                    worker_protocol.Order(worker_protocol.LAUNCH, placement.task, placement.attempt)
+                    worker_protocol.WorkerCommand(
+                        worker_protocol.LAUNCH, placement.task, placement.attempt
+                    )
                 )
                 if seq is not None:
                     placement.answered_seq = seq
@@ -743,9 +747,11 @@
                     placement.open_launch_calls += 1
         for (task, attempt), state in machine.unknown_tasks.items():
             if state == worker_protocol.EXITED:
-                orders.append(worker_protocol.Order(worker_protocol.REAP, task, attempt))
+                orders.append(worker_protocol.WorkerCommand(worker_protocol.REAP, task, attempt))
             else:
-                orders.append(worker_protocol.Order(worker_protocol.HALT, task, attempt, 0.0))
+                orders.append(
+                    worker_protocol.WorkerCommand(worker_protocol.HALT, task, attempt, 0.0)
+                )
         # Bounded, so that an answer stays far below the protocol's limit of 64 KiB.
         return orders[:200] + launches[: 400 - len(orders[:200])]
 
@@ -782,7 +788,7 @@
                 machine.addr,
                 "POST",
                 "/commands",
-                worker_protocol.Direct(token, machine.session, orders),
+                worker_protocol.DirectCommands(token, machine.session, orders),
                 self.call_timeout_s,
                 self._direct_command_callback(machine, sent_launches, token),
             )
@@ -802,12 +808,12 @@
                     self.uncertain_launches.add(machine, placement, token)
             if status not in (200, 409) or owner.machines.get(machine.name) is not machine:
                 return
-            report = decode(body, worker_protocol.Report)
+            report = decode_answer(body, worker_protocol.Report)
             shard = owner.held_shards.get(machine.record.shard)
             if report is None or shard is None or report.machine != machine.name:
                 return
             try:
-                reported_tasks = worker_protocol.read_hands(report.tasks)
+                reported_tasks = worker_protocol.decode_task_reports(report.tasks)
             except (msgspec.MsgspecError, UnicodeDecodeError):
                 return
             if self._is_newest(machine, report):
--- a/sagecove/features.py
+++ b/sagecove/features.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from sagecove.config import SettingsError, read
+from sagecove.config import SettingsError, read_file
 
 if TYPE_CHECKING:
     from sagecove.coordination.interfaces import Feature
@@ -23,18 +23,18 @@
 # Name of a feature and of its table: the module that makes it.
 FEATURES = {"sweeps": "sagecove.sweeps.feature"}
 
-Chosen = list[tuple[str, Any]]
+ChosenFeatures = list[tuple[str, Any]]
 
 
-def load(path: str) -> Chosen:
+def load_features(path: str) -> ChosenFeatures:
     """Features that a file turns on, with their options; `SettingsError` names file and line."""
-    raw = read(path)
+    raw = read_file(path)
     try:
         text = raw.decode()
         tables = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from None
-    chosen: Chosen = []
+    chosen: ChosenFeatures = []
     for name, table in tables.items():
         if name not in FEATURES:
             known = ", ".join(FEATURES)
@@ -81,7 +81,7 @@
     return 1
 
 
-def maker(chosen: Chosen) -> Callable[[Owner], list[Feature]]:
+def feature_factory(chosen: ChosenFeatures) -> Callable[[Owner], list[Feature]]:
     """What makes the chosen features for an owner."""
 
     def make(owner: Owner) -> list[Feature]:
--- a/sagecove/lab/deployment.py
+++ b/sagecove/lab/deployment.py
@@ -14,7 +14,7 @@
 CANCEL_S = 37.0
 GANG_WAIT_S = 30.0
 
-TYPES: list[dict[str, Any]] = [
+MACHINE_TYPES: list[dict[str, Any]] = [
     {
         "sku": "small",
         "vcpus": 4.0,
@@ -49,7 +49,7 @@
 ]
 
 
-def raw_settings(
+def raw_controller_settings(
     node: int, nodes: int = 3, teams: list[dict[str, Any]] | None = None, **state: Any
 ) -> dict[str, Any]:
     """The settings file of controller number `node`, as the platform would write it."""
@@ -82,14 +82,14 @@
     }
 
 
-def settings(
+def controller_settings(
     node: int, nodes: int = 3, teams: list[dict[str, Any]] | None = None, **state: Any
 ) -> Settings:
     """Settings of controller number `node`."""
-    return msgspec.convert(raw_settings(node, nodes, teams, **state), Settings)
+    return msgspec.convert(raw_controller_settings(node, nodes, teams, **state), Settings)
 
 
-def job(number: int, **fields: Any) -> dict[str, Any]:
+def job_submission(number: int, **fields: Any) -> dict[str, Any]:
     """A submission."""
     return {
         "nameId": f"run-{number:06d}",
--- a/sagecove/lab/dev.py
+++ b/sagecove/lab/dev.py
@@ -104,7 +104,7 @@
                 cancelled = True
                 self.tell(f"cancelled {service}: {answer['standing']}")
             over = [s in ("done", "aborted") for s in self.states.values()]
-            if all(over) and not any(map(self.lab.running, jobs)):
+            if all(over) and not any(map(self.lab.running_task_count, jobs)):
                 break
             yield self.pause(1.0)
         wrong = {j: s for j, s in self.states.items() if s != self.expected(j, jobs)}
--- a/sagecove/lab/loopback.py
+++ b/sagecove/lab/loopback.py
@@ -19,8 +19,8 @@
 import msgspec
 
 from sagecove.lab import deployment
-from sagecove.lab.models import Answer, FakeCloud, FakeState, FakeWorker
-from sagecove.lab.rules import RuleBroken, Rules
+from sagecove.lab.fakes import AnswerCallback, FakeCloud, FakeStateService, FakeWorker
+from sagecove.lab.rule_checker import RuleChecker, RuleViolation
 from sagecove.transport.client import Client
 from sagecove.transport.server import Exchange, Server
 
@@ -28,7 +28,7 @@
 
 HOST = "127.0.0.1"
 # The platform has a controller that ended back after about this time.
-BACK_S = 3.0
+CONTROLLER_RESTART_S = 3.0
 
 
 def free_port() -> int:
@@ -38,7 +38,7 @@
         return int(sock.getsockname()[1])
 
 
-class Controller:
+class ControllerProcess:
     """A controller process and where it listens. `ended` hears of each end."""
 
     def __init__(self, lab: "Loopback", number: int) -> None:
@@ -83,15 +83,17 @@
         self.process = None
         if not self.lab.stopping:
             how = f"signal {status.signal}" if status.signal else f"status {status.exitCode}"
-            self.lab.tell(f"controller {self.name} ended ({how}), back in {BACK_S:.0f} s")
-            self.lab.reactor.callLater(BACK_S, self._again)
+            self.lab.tell(
+                f"controller {self.name} ended ({how}), back in {CONTROLLER_RESTART_S:.0f} s"
+            )
+            self.lab.reactor.callLater(CONTROLLER_RESTART_S, self._again)
 
     def _again(self) -> None:
         if not self.lab.stopping and self.process is None:
             self.start()
 
 
-class Loopback(Rules):
+class Loopback(RuleChecker):
     """State service, cloud, workers, users' door and controllers, in real time."""
 
     def __init__(
@@ -115,12 +117,12 @@
         self.folder = self.temporary.name
         self.clients: dict[str, Client] = {}
         self.listeners: dict[str, Any] = {}
-        self.state = FakeState(self)
-        self.state.page = 500
+        self.state = FakeStateService(self)
+        self.state.page_size = 500
         self.cloud = FakeCloud(self)
         self.cloud.boot_s /= time_scale
-        self.cloud.address = self._machine_address
-        self.nodes = [Controller(self, n) for n in range(controllers)]
+        self.cloud.address_of = self._machine_address
+        self.nodes = [ControllerProcess(self, n) for n in range(controllers)]
         self.door = ""
 
     # -- what the models need -------------------------------------------------------------------
@@ -130,14 +132,14 @@
         """Seconds of the reactor's clock."""
         return float(self.reactor.seconds())
 
-    def later(self, delay: float, action: Callable[[], None]) -> None:
+    def call_later(self, delay: float, action: Callable[[], None]) -> None:
         """Run an action after a delay; a breach of a rule is noted and stops nothing."""
         self.reactor.callLater(delay, self._guarded, action)
 
     def _guarded(self, action: Callable[[], None]) -> None:
         try:
             action()
-        except RuleBroken as breach:
+        except RuleViolation as breach:
             self.breach(str(breach))
 
     def breach(self, text: str) -> None:
@@ -145,28 +147,30 @@
         self.breaches.append(text)
         self.tell(f"RULE BROKEN: {text}")
 
-    def started(self, worker: FakeWorker, task: str) -> None:
+    def task_started(self, worker: FakeWorker, task: str) -> None:
         """A task starts; a breach is noted, and the task starts all the same."""
-        self._guarded(lambda: Rules.started(self, worker, task))
+        self._guarded(lambda: RuleChecker.task_started(self, worker, task))
 
-    def controllers(self) -> list[str]:
+    def controller_names(self) -> list[str]:
         """Names of the controllers."""
         return [node.name for node in self.nodes]
 
-    def ask(self, node: str, method: str, path: str, body: Any, answer: Answer) -> None:
+    def request_controller(
+        self, node: str, method: str, path: str, body: Any, answer: AnswerCallback
+    ) -> None:
         """A worker's request to a controller."""
         address = next(n.users for n in self.nodes if n.name == node)
         self.request(address, method, path, json.dumps(body).encode(), 4.0, answer)
 
-    def boot(self, name: str) -> None:
+    def machine_booted(self, name: str) -> None:
         """A rented machine has come up."""
         if name in self.cloud.machines:
             self.cloud.machines[name]["standing"] = "running"
             worker = self.workers[name] = FakeWorker(self, name, self.cloud.machines[name])
-            worker.run_s = None
-            worker.pace = self.time_scale
+            worker.task_run_s = None
+            worker.speed_factor = self.time_scale
 
-    def describe(self, job_id: str, done: Callable[[dict[str, Any] | None], None]) -> None:
+    def fetch_description(self, job_id: str, done: Callable[[dict[str, Any] | None], None]) -> None:
         """What the user uploaded; a sweep's point is described by any controller."""
         if job_id in self.specs:
             done(self.specs[job_id])
@@ -199,7 +203,13 @@
         )
 
     def request(
-        self, address: str, method: str, path: str, body: bytes | None, timeout: float, done: Answer
+        self,
+        address: str,
+        method: str,
+        path: str,
+        body: bytes | None,
+        timeout: float,
+        done: AnswerCallback,
     ) -> None:
         """Send a request."""
         client = self.clients.get(address)
@@ -209,7 +219,7 @@
         client.request(method.encode(), path, body, timeout, done)
 
     def _serve(
-        self, handle: Callable[[str, str, Any, Answer], None]
+        self, handle: Callable[[str, str, Any, AnswerCallback], None]
     ) -> Callable[[str, str, bytes, Exchange], None]:
         """A listener's handler around a model's."""
 
@@ -232,14 +242,14 @@
         return handler
 
     def _machine_address(self, name: str) -> str:
-        def handle(method: str, path: str, body: Any, answer: Answer) -> None:
+        def handle(method: str, path: str, body: Any, answer: AnswerCallback) -> None:
             worker = self.workers.get(name)
-            if worker is None or worker.cut or worker.cut_direct:
+            if worker is None or worker.isolated or worker.direct_commands_blocked:
                 return
             if path == "/commands":
-                answer(*worker.commands(body))
+                answer(*worker.handle_commands(body))
             else:
-                answer(200, json.dumps(worker.body()).encode())
+                answer(200, json.dumps(worker.report_body()).encode())
 
         port = self.listeners[name] = self.listen(self._serve(handle))
         return f"{HOST}:{port.getHost().port}"
@@ -279,19 +289,19 @@
         job_id = upload.get("nameId", "") if upload else parts[3] if len(parts) > 3 else ""
         if job_id in self.specs:
             content = json.loads(body) if body else None
-            self.answered(job_id, status or 0, content, submitted=bool(upload))
+            self.record_answer(job_id, status or 0, content, submitted=bool(upload))
 
     # -- start and end --------------------------------------------------------------------------
 
     def start(self, machines: int = 4, port: int = 0) -> None:
         """Listen, write the settings files, start machines and controllers."""
-        cloud = self.listen(self._serve(self.cloud.request))
+        cloud = self.listen(self._serve(self.cloud.handle_request))
         cloud_at = f"{HOST}:{cloud.getHost().port}"
         for node in self.nodes:
-            state = self.listen(self._serve(partial(self.state.request, node.name)))
+            state = self.listen(self._serve(partial(self.state.handle_request, node.name)))
             node.state = f"{HOST}:{state.getHost().port}"
         for number, node in enumerate(self.nodes):
-            raw = deployment.raw_settings(number, len(self.nodes))
+            raw = deployment.raw_controller_settings(number, len(self.nodes))
             raw["serve_on"], raw["peer_listen"] = node.users, node.peers
             raw["external"] = {"cloud": cloud_at, "state": node.state}
             others = {n.name: n.peers for n in self.nodes}
@@ -301,7 +311,7 @@
                 file.write(msgspec.json.format(msgspec.json.encode(raw), indent=2))
             node.start()
         for number in range(machines):
-            self.cloud.start("small", "ab"[number % 2], False, 0.5)
+            self.cloud.start_machine("small", "ab"[number % 2], False, 0.5)
         door = self.listen(self._user, port)
         self.door = f"{HOST}:{door.getHost().port}"
         self.reactor.addSystemEventTrigger("before", "shutdown", self.stop)
@@ -312,12 +322,12 @@
         if self.stopping:
             return
         self.state.tick()
-        self._guarded(self.check)
+        self._guarded(self.check_rules)
         for name in [n for n in self.listeners if n not in self.cloud.machines]:
             self.listeners.pop(name).stopListening()
         self.reactor.callLater(0.02, self._tick)
 
-    def watcher(self, node: Controller) -> Any:
+    def watcher(self, node: ControllerProcess) -> Any:
         """What hears of a controller process's end."""
         from twisted.internet.protocol import ProcessProtocol
 
--- a/sagecove/lab/rules.py
+++ b/sagecove/lab/rule_checker.py
@@ -8,23 +8,23 @@
 from random import Random
 from typing import Any
 
-from sagecove.lab.deployment import CANCEL_S, LEASE_S, TEAMS, TYPES, job
-from sagecove.lab.models import FakeWorker
+from sagecove.lab.deployment import CANCEL_S, LEASE_S, MACHINE_TYPES, TEAMS, job_submission
+from sagecove.lab.fakes import FakeWorker
 
 # The operators' addition to the rules (seconds; share).
-FORGOTTEN_S = 75.0
-BEGIN_S = 240.0
-WAIT_S = 90.0
-HALF = 0.5
+UNANSWERED_LIMIT_S = 75.0
+SERVED_WITHIN_S = 240.0
+WAITING_LIMIT_S = 90.0
+MIN_SERVED_SHARE = 0.5
 # What every submission has; those that may be null may also be left out.
-FIELDS = set(job(0)) - {"breeds", "range", "dueS"}
+REQUIRED_FIELDS = set(job_submission(0)) - {"breeds", "range", "dueS"}
 
 
-class RuleBroken(AssertionError):
+class RuleViolation(AssertionError):
     """A rule of PROTOCOL was broken: its name, and by what."""
 
 
-class Rules:
+class RuleChecker:
     """What has been submitted, cancelled, started and completed, and whether that was in order."""
 
     now: float
@@ -35,78 +35,78 @@
         # Submissions by job id, in wire names: what workers fetch.
         self.specs: dict[str, dict[str, Any]] = {}
         # Sweeps that were accepted: their points are jobs that nobody submits one by one.
-        self.sweeps: set[str] = set()
+        self.accepted_sweeps: set[str] = set()
         # When users were told that a job is cancelled.
-        self.cancelled: dict[str, float] = {}
-        self.completed: set[str] = set()
-        self.broken: set[str] = set()
+        self.cancelled_at: dict[str, float] = {}
+        self.completed_tasks: set[str] = set()
+        self.failing_jobs: set[str] = set()
         # What users have been told of jobs: the last state, and tasks that completed.
-        self.told: dict[str, str] = {}
+        self.reported_states: dict[str, str] = {}
         # The same in the order of the users' clocks: from which moment on a job has been accepted,
         # done or cancelled for its users. A request begun before that may be answered as before.
-        self.moments = itertools.count()
-        self.since: dict[str, list[tuple[int, str]]] = {}
+        self.answer_counter = itertools.count()
+        self.state_history: dict[str, list[tuple[int, str]]] = {}
         # Tasks that started after their users had been told of the cancellation: (task, how long
         # after). Messages under way make some of them; none may be `cancel_s` late.
-        self.late_starts: list[tuple[str, float]] = []
+        self.starts_after_cancel: list[tuple[str, float]] = []
         # Teams whose limits hold, and those of the settings that controllers are started with.
         self.teams = TEAMS
         # (time, task, machine).
-        self.starts: list[tuple[float, str, str]] = []
+        self.task_starts: list[tuple[float, str, str]] = []
         # When jobs were first submitted; accepted ones of which no question is answered, and since
         # when; and when all troubles were over (None: they are not).
-        self.submitted: dict[str, float] = {}
-        self.unanswered: dict[str, float] = {}
-        self.calm_at: float | None = None
+        self.submitted_at: dict[str, float] = {}
+        self.unanswered_since: dict[str, float] = {}
+        self.faults_over_at: float | None = None
         # Jobs that wait though they could begin, and since when.
-        self.could_begin: dict[str, float] = {}
-        self.looked_at = 0.0
+        self.startable_since: dict[str, float] = {}
+        self.waiting_checked_at = 0.0
 
-    def describe(self, job_id: str, done: Callable[[dict[str, Any] | None], None]) -> None:
+    def fetch_description(self, job_id: str, done: Callable[[dict[str, Any] | None], None]) -> None:
         """A job's description, as workers fetch it: what its user has uploaded."""
         done(self.specs.get(job_id))
 
-    def started(self, worker: FakeWorker, task: str) -> None:
+    def task_started(self, worker: FakeWorker, task: str) -> None:
         """A task starts on a machine."""
-        self.starts.append((self.now, task, worker.name))
+        self.task_starts.append((self.now, task, worker.name))
         for other in self.workers.values():
             other.check_lease()
-            if other is not worker and task in other.live():
-                raise RuleBroken(f"ran_twice {task} on {worker.name} and {other.name}")
+            if other is not worker and task in other.live_tasks():
+                raise RuleViolation(f"ran_twice {task} on {worker.name} and {other.name}")
         job_id = task.split("/")[0]
         spec = self.specs[job_id]
-        info = worker.info
+        info = worker.cloud_record
         if (
             (spec["breeds"] is not None and info["breed"] not in spec["breeds"])
             or spec["range"] not in (None, info["range"])
             or (info["borrowed"] and not spec["borrowed"])
         ):
-            raise RuleBroken(f"wrong_place {task} on {worker.name}")
+            raise RuleViolation(f"wrong_place {task} on {worker.name}")
         zones = [
-            w.info["range"]
+            w.cloud_record["range"]
             for w in self.workers.values()
-            for t in w.live()
+            for t in w.live_tasks()
             if t.split("/")[0] == job_id and t != task
         ] + [info["range"]]
         if spec["samePlace"] and len(set(zones)) > 1:
-            raise RuleBroken(f"wrong_place {task}: zones {zones}")
+            raise RuleViolation(f"wrong_place {task}: zones {zones}")
         if spec["scatter"] and zones.count(info["range"]) > (spec["hands"] + 1) // 2:
-            raise RuleBroken(f"wrong_place {task}: zones {zones}")
-        if job_id in self.cancelled:
-            self.late_starts.append((task, self.now - self.cancelled[job_id]))
+            raise RuleViolation(f"wrong_place {task}: zones {zones}")
+        if job_id in self.cancelled_at:
+            self.starts_after_cancel.append((task, self.now - self.cancelled_at[job_id]))
         self._check_cancelled(job_id)
 
     def _check_cancelled(self, job_id: str) -> None:
-        if job_id in self.cancelled and self.now - self.cancelled[job_id] > CANCEL_S:
-            raise RuleBroken(f"ran_cancelled {job_id}")
+        if job_id in self.cancelled_at and self.now - self.cancelled_at[job_id] > CANCEL_S:
+            raise RuleViolation(f"ran_cancelled {job_id}")
 
-    def check(self) -> None:
+    def check_rules(self) -> None:
         """Limits of teams, and tasks of cancelled jobs, at this moment."""
         used: dict[str, float] = {}
         for worker in self.workers.values():
-            if self.now - worker.lease_from > LEASE_S:
+            if self.now - worker.lease_started_at > LEASE_S:
                 continue
-            for task in worker.live():
+            for task in worker.live_tasks():
                 job_id = task.split("/")[0]
                 spec = self.specs.get(job_id)
                 if spec is None:
@@ -114,28 +114,28 @@
                     continue
                 used[spec["outfit"]] = used.get(spec["outfit"], 0.0) + spec["vcpus"]
                 self._check_cancelled(job_id)
-        if self.calm_at is not None:
-            for job_id, since in self.unanswered.items():
-                if self.now - max(since, self.calm_at) > FORGOTTEN_S:
-                    raise RuleBroken(f"forgotten {job_id}: no question answered")
-            if self.now - self.looked_at >= 1.0:
-                self.looked_at = self.now
+        if self.faults_over_at is not None:
+            for job_id, since in self.unanswered_since.items():
+                if self.now - max(since, self.faults_over_at) > UNANSWERED_LIMIT_S:
+                    raise RuleViolation(f"forgotten {job_id}: no question answered")
+            if self.now - self.waiting_checked_at >= 1.0:
+                self.waiting_checked_at = self.now
                 self._check_waiting(used)
         for team in self.teams:
             if team["cpus_max"] and used.get(team["name"], 0.0) > team["cpus_max"] + 1e-6:
-                raise RuleBroken(f"quota {team['name']} uses {used[team['name']]} CPUs")
+                raise RuleViolation(f"quota {team['name']} uses {used[team['name']]} CPUs")
 
     def _check_waiting(self, used: dict[str, float]) -> None:
         """No job waits while machines that fit have room and its team is under its limit."""
         on = {t.split("/")[0] for w in self.workers.values() for t in w.tasks}
-        over = {task.split("/")[0] for task in self.completed}
-        for job_id, state in self.told.items():
+        over = {task.split("/")[0] for task in self.completed_tasks}
+        for job_id, state in self.reported_states.items():
             spec = self.specs.get(job_id)
-            left = state not in ("done", "aborted") and job_id not in on | over | self.broken
+            left = state not in ("done", "aborted") and job_id not in on | over | self.failing_jobs
             if spec is None or not left or not self._could_begin(spec, used):
-                self.could_begin.pop(job_id, None)
-            elif self.now - self.could_begin.setdefault(job_id, self.now) > WAIT_S:
-                raise RuleBroken(f"waiting {job_id}: there is room for it")
+                self.startable_since.pop(job_id, None)
+            elif self.now - self.startable_since.setdefault(job_id, self.now) > WAITING_LIMIT_S:
+                raise RuleViolation(f"waiting {job_id}: there is room for it")
 
     def _could_begin(self, spec: dict[str, Any], used: dict[str, float]) -> bool:
         """Its tasks, of an array one, find room on machines as they are."""
@@ -146,8 +146,8 @@
             return False
         room: dict[str, int] = {}
         for worker in self.workers.values():
-            info = worker.info
-            kind = next(t for t in TYPES if t["sku"] == info["breed"])
+            info = worker.cloud_record
+            kind = next(t for t in MACHINE_TYPES if t["sku"] == info["breed"])
             if (
                 (spec["breeds"] is not None and info["breed"] not in spec["breeds"])
                 or spec["range"] not in (None, info["range"])
@@ -169,77 +169,83 @@
             room = {zone: min(n, (spec["hands"] + 1) // 2) for zone, n in room.items()}
         return sum(room.values()) >= at_once
 
-    def answered(
-        self, job_id: str, status: int, answer: Any, *, submitted: bool, begun: int | None = None
+    def record_answer(
+        self, job_id: str, status: int, answer: Any, *, submitted: bool, asked_at: int | None = None
     ) -> None:
         """A user was given an answer about one job (status 0: none). `begun`: the moment at which
         it asked, if others asked meanwhile."""
-        told = self.since.get(job_id, [])
-        known = [state for moment, state in told if begun is None or moment < begun]
+        told = self.state_history.get(job_id, [])
+        known = [state for moment, state in told if asked_at is None or moment < asked_at]
         before = known[-1] if known else None
         if submitted:
-            self.submitted.setdefault(job_id, self.now)
+            self.submitted_at.setdefault(job_id, self.now)
         if status in (200, 201):
-            self.unanswered.pop(job_id, None)
+            self.unanswered_since.pop(job_id, None)
         elif before is not None:
-            self.unanswered.setdefault(job_id, self.now)
+            self.unanswered_since.setdefault(job_id, self.now)
         if status == 404 and before is not None:
-            raise RuleBroken(f"forgotten {job_id} was {before}")
+            raise RuleViolation(f"forgotten {job_id} was {before}")
         if submitted and status in (400, 422) and before is not None:
-            raise RuleBroken(f"forgotten {job_id} was {before}, then refused")
+            raise RuleViolation(f"forgotten {job_id} was {before}, then refused")
         if status not in (200, 201) or not isinstance(answer, dict):
             return
-        if job_id not in self.specs and job_id.rpartition(".p")[0] not in self.sweeps:
-            raise RuleBroken(f"invented {job_id}")
+        if job_id not in self.specs and job_id.rpartition(".p")[0] not in self.accepted_sweeps:
+            raise RuleViolation(f"invented {job_id}")
         state = answer["standing"]
         if before in ("done", "aborted") and state != before:
-            raise RuleBroken(f"went_back {job_id} from {before} to {state}")
+            raise RuleViolation(f"went_back {job_id} from {before} to {state}")
         if state == "done":
             every = {f"{job_id}/{n}" for n in range(self.specs.get(job_id, {"hands": 1})["hands"])}
-            if every - self.completed:
-                raise RuleBroken(f"not_done {job_id} lacks {len(every - self.completed)} tasks")
+            if every - self.completed_tasks:
+                raise RuleViolation(
+                    f"not_done {job_id} lacks {len(every - self.completed_tasks)} tasks"
+                )
         if submitted and status == 201 and job_id in self.specs:
             self._check_accepted(self.specs[job_id])
         final = next((s for _, s in told if s in ("done", "aborted")), None)
         if final is not None and state in ("done", "aborted") and state != final:
-            raise RuleBroken(f"went_back {job_id} from {final} to {state}")
+            raise RuleViolation(f"went_back {job_id} from {final} to {state}")
         if not told or (final is None and state in ("done", "aborted")):
-            self.since.setdefault(job_id, []).append((next(self.moments), state))
+            self.state_history.setdefault(job_id, []).append((next(self.answer_counter), state))
         if final is None:
-            self.told[job_id] = state
+            self.reported_states[job_id] = state
         if state == "aborted":
-            self.cancelled.setdefault(job_id, self.now)
+            self.cancelled_at.setdefault(job_id, self.now)
 
     def _check_accepted(self, spec: dict[str, Any]) -> None:
         """Who accepts a job says that it can run, and that it lacks nothing."""
-        missing = FIELDS - set(spec)
+        missing = REQUIRED_FIELDS - set(spec)
         team = next((t for t in self.teams if t["name"] == spec.get("outfit")), None)
         if missing or team is None:
-            raise RuleBroken(f"accepted {spec['nameId']} lacks {sorted(missing) or 'a team'}")
+            raise RuleViolation(f"accepted {spec['nameId']} lacks {sorted(missing) or 'a team'}")
         fits = any(
             spec["vcpus"] <= t["vcpus"]
             and spec["cards"] <= t["cards"]
             and spec["memoryGb"] <= t["memoryGb"]
             and (spec["breeds"] is None or t["sku"] in spec["breeds"])
             and spec["range"] in (None, *t["ranges"])
-            for t in TYPES
+            for t in MACHINE_TYPES
         )
         at_once = 1 if spec["shape"] == "sweep" else spec["hands"]
         most = team["cpus_max"] or float("inf")
         if not fits or at_once * spec["vcpus"] > most + 1e-6:
-            raise RuleBroken(f"accepted {spec['nameId']} can't run")
+            raise RuleViolation(f"accepted {spec['nameId']} can't run")
 
-    def served(self, by: str = "herd") -> dict[str, float]:
+    def served_shares(self, by: str = "herd") -> dict[str, float]:
         """Share of accepted jobs that weren't cancelled and began within four minutes (a gang or
         service with all its tasks), by class or, with `outfit`, team; the largest of each class, of
         which there is another size, apart."""
         begun: dict[str, set[str]] = {}
-        for at, task, _ in self.starts:
+        for at, task, _ in self.task_starts:
             job_id = task.split("/")[0]
-            if at - self.submitted.get(job_id, at) <= BEGIN_S:
+            if at - self.submitted_at.get(job_id, at) <= SERVED_WITHIN_S:
                 begun.setdefault(job_id, set()).add(task)
         groups: dict[str, list[bool]] = {}
-        jobs = [self.specs[j] for j in self.told if j in self.specs and j not in self.cancelled]
+        jobs = [
+            self.specs[j]
+            for j in self.reported_states
+            if j in self.specs and j not in self.cancelled_at
+        ]
         for spec in jobs:
             tasks = len(begun.get(spec["nameId"], ()))
             good = tasks >= (1 if spec["shape"] == "sweep" else spec["hands"])
@@ -251,16 +257,16 @@
 
     def check_served(self) -> None:
         """Less than half of a class, a team or a class's largest jobs fails the day."""
-        for name, share in {**self.served(), **self.served("outfit")}.items():
-            if share < HALF:
-                raise RuleBroken(f"served {name}: {share:.2f}")
+        for name, share in {**self.served_shares(), **self.served_shares("outfit")}.items():
+            if share < MIN_SERVED_SHARE:
+                raise RuleViolation(f"served {name}: {share:.2f}")
 
-    def running(self, job_id: str) -> int:
+    def running_task_count(self, job_id: str) -> int:
         """How many of a job's tasks are on machines."""
         return sum(
             1
             for w in self.workers.values()
-            if self.now - w.lease_from <= LEASE_S
-            for t in w.live()
+            if self.now - w.lease_started_at <= LEASE_S
+            for t in w.live_tasks()
             if t.split("/")[0] == job_id
         )
--- a/sagecove/protocol/cloud.py
+++ b/sagecove/protocol/cloud.py
@@ -42,7 +42,7 @@
     types: list[MachineType]
 
 
-class Rent(
+class RentRequest(
     msgspec.Struct,
     rename={
         "request": "hire",
@@ -67,7 +67,7 @@
     machines: list[str]
 
 
-class Listed(
+class ListedMachine(
     msgspec.Struct,
     rename={
         "name": "nameId",
@@ -92,10 +92,10 @@
 class Listing(msgspec.Struct, rename={"machines": "mounts", "more": "truncated"}):
     """A page of the cloud's list."""
 
-    machines: list[Listed]
+    machines: list[ListedMachine]
     more: bool = False
 
 
-RENT_MOST = 50
-DELETE_MOST = 100
-LIST_MOST = 500
+RENT_MAX_COUNT = 50
+DELETE_MAX_COUNT = 100
+LIST_PAGE_COUNT = 500
--- a/sagecove/protocol/peers.py
+++ b/sagecove/protocol/peers.py
@@ -32,7 +32,7 @@
     tasks: int
 
 
-class Warm(msgspec.Struct, frozen=True, array_like=True):
+class ImageRoom(msgspec.Struct, frozen=True, array_like=True):
     """Free room (CPUs, GPUs) on machines of a zone and kind that have an image."""
 
     image: str
@@ -81,7 +81,7 @@
     # Gangs that idle machines of others would serve.
     calls: list[RoomRequest] = []
     # Free room beside images.
-    warm: list[Warm] = []
+    warm: list[ImageRoom] = []
 
 
 class Promise(msgspec.Struct, omit_defaults=True):
@@ -100,6 +100,6 @@
     cancelled: list[str] = []
 
 
-read_promise = msgspec.json.Decoder(Promise).decode
-read_wants = msgspec.json.Decoder(ShareRequestList).decode
-read_hint = msgspec.json.Decoder(Hint).decode
+decode_promise = msgspec.json.Decoder(Promise).decode
+decode_share_requests = msgspec.json.Decoder(ShareRequestList).decode
+decode_hint = msgspec.json.Decoder(Hint).decode
--- a/sagecove/protocol/state.py
+++ b/sagecove/protocol/state.py
@@ -38,7 +38,7 @@
     lease: int | None = None
 
 
-class Drop(msgspec.Struct, rename={"key": "drop"}):
+class Delete(msgspec.Struct, rename={"key": "drop"}):
     """Delete a key."""
 
     key: str
@@ -48,7 +48,7 @@
     """Changes made together if every condition holds."""
 
     conditions: list[Condition]
-    changes: list[Put | Drop] = []
+    changes: list[Put | Delete] = []
 
 
 class Revision(msgspec.Struct, rename={"revision": "ledger"}):
--- a/sagecove/protocol/users.py
+++ b/sagecove/protocol/users.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-JOB_ID = re.compile(r"^run-[A-Za-z0-9_.-]{1,100}\Z")
+JOB_ID_PATTERN = re.compile(r"^run-[A-Za-z0-9_.-]{1,100}\Z")
 
 Amount = Annotated[float, msgspec.Meta(ge=0, le=1e9)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
 
 ARRAY, GANG, SERVICE = "sweep", "ensemble", "service"
 PENDING, RUNNING, DONE, CANCELLED = "pending", "running", "done", "aborted"
-PRIORITIES = {"production": 3, "urgent": 2, "normal": 1, "low": 0}
+PRIORITY_RANKS = {"production": 3, "urgent": 2, "normal": 1, "low": 0}
 
 
 class Job(
@@ -44,7 +44,7 @@
 ):
     """A job as submitted."""
 
-    id: Annotated[str, msgspec.Meta(pattern=JOB_ID.pattern)]
+    id: Annotated[str, msgspec.Meta(pattern=JOB_ID_PATTERN.pattern)]
     klass: Name
     team: Name
     kind: Annotated[str, msgspec.Meta(pattern=r"^(sweep|ensemble|service)\Z")]
@@ -73,7 +73,7 @@
                 msgspec.structs.force_setattr(self, field, intern(value))
 
 
-class Status(
+class JobStatus(
     msgspec.Struct,
     rename={"id": "nameId", "state": "standing"},
     omit_defaults=True,
@@ -92,4 +92,4 @@
     error: str
 
 
-read_job = msgspec.json.Decoder(Job).decode
+decode_job = msgspec.json.Decoder(Job).decode
--- a/sagecove/protocol/views.py
+++ b/sagecove/protocol/views.py
@@ -66,7 +66,7 @@
     state: str
 
 
-class Cluster(msgspec.Struct):
+class ClusterView(msgspec.Struct):
     """The whole, as the controller that was asked sees it."""
 
     told_by: str
--- a/sagecove/protocol/workers.py
+++ b/sagecove/protocol/workers.py
@@ -12,7 +12,7 @@
     "saving",
     "exited",
 )
-WHY_DONE, WHY_STOPPED, WHY_ERROR, WHY_FULL, WHY_BUSY, WHY_UNKNOWN = (
+EXIT_DONE, EXIT_STOPPED, EXIT_ERROR, EXIT_FULL, EXIT_BUSY, EXIT_UNKNOWN = (
     "done",
     "stopped",
     "error",
@@ -24,7 +24,7 @@
 Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class Hand(
+class TaskReport(
     msgspec.Struct,
     rename={
         "task": "hand",
@@ -72,7 +72,7 @@
     notice_s: float | None = None
 
 
-class Order(
+class WorkerCommand(
     msgspec.Struct,
     rename={"op": "verb", "task": "hand", "attempt": "try", "grace_s": "leewayS"},
     omit_defaults=True,
@@ -85,19 +85,19 @@
     grace_s: float | None = None
 
 
-class Answer(msgspec.Struct, rename={"token": "brand"}):
+class ReportAnswer(msgspec.Struct, rename={"token": "brand"}):
     """The response to a report."""
 
     token: int
-    orders: list[Order]
+    orders: list[WorkerCommand]
 
 
-class Direct(msgspec.Struct, rename={"token": "brand", "session": "ride"}):
+class DirectCommands(msgspec.Struct, rename={"token": "brand", "session": "ride"}):
     """Commands sent straight to a worker."""
 
     token: int
     session: int
-    orders: list[Order]
+    orders: list[WorkerCommand]
 
 
 class Redirect(msgspec.Struct, rename={"report_to": "foreman"}, omit_defaults=True):
@@ -106,5 +106,5 @@
     report_to: str | None = None
 
 
-read_hands = msgspec.json.Decoder(list[Hand]).decode
-read_report = msgspec.json.Decoder(Report).decode
+decode_task_reports = msgspec.json.Decoder(list[TaskReport]).decode
+decode_report = msgspec.json.Decoder(Report).decode
--- a/sagecove/service.py
+++ b/sagecove/service.py
@@ -12,7 +12,7 @@
 from sagecove.config import Settings, split_address
 from sagecove.coordination.effects import CallResult, IncomingRequest, OutgoingCall, Reply
 from sagecove.coordination.owner import Owner
-from sagecove.features import Chosen, maker
+from sagecove.features import ChosenFeatures, feature_factory
 from sagecove.transport.client import Client
 from sagecove.transport.server import Exchange, Server
 
@@ -25,10 +25,12 @@
 class Service:
     """A controller process."""
 
-    def __init__(self, settings: Settings, reactor: Any, chosen: Chosen) -> None:
+    def __init__(self, settings: Settings, reactor: Any, chosen: ChosenFeatures) -> None:
         self.settings = settings
         self.reactor = reactor
-        self.owner = Owner(settings, Random(), time.monotonic(), time.time(), maker(chosen))
+        self.owner = Owner(
+            settings, Random(), time.monotonic(), time.time(), feature_factory(chosen)
+        )
         self.queue: deque[IncomingRequest | CallResult] = deque()
         self.timer: Any = None
         self.scheduled = False
@@ -109,7 +111,7 @@
         """Machines come and go: forget connections not used for a minute."""
         now = self.reactor.seconds()
         for address, client in list(self.clients.items()):
-            if now - client.used > 60 and not client.busy and not client.queue:
+            if now - client.last_used_at > 60 and not client.busy and not client.queue:
                 client.close_idle()
                 del self.clients[address]
 
@@ -132,7 +134,7 @@
         )
 
 
-def serve(settings: Settings, chosen: Chosen) -> None:
+def serve(settings: Settings, chosen: ChosenFeatures) -> None:
     """Run a controller until it is killed."""
     from twisted.internet import reactor
 
--- a/sagecove/storage/budget.py
+++ b/sagecove/storage/budget.py
@@ -1,7 +1,7 @@
 """Request budgets: token buckets for the limits of the state service and the cloud."""
 
 
-class Budget:
+class TokenBucket:
     """A bucket refilled at `rate` a second, holding at most `burst`; it may go into debt, by no
     more than that, so that a flood of what must not wait does not stop all else for long."""
 
@@ -11,7 +11,7 @@
         self._level = burst
         self._at = now
 
-    def delay(self, now: float, amount: float = 1.0) -> float:
+    def seconds_until_available(self, now: float, amount: float = 1.0) -> float:
         """Seconds until `amount` may be spent; 0 if at once."""
         self._level = min(self.burst, self._level + (now - self._at) * self.rate)
         self._at = now
@@ -20,5 +20,5 @@
 
     def spend(self, now: float, amount: float = 1.0) -> None:
         """Take `amount`, owed if it is not there: some requests must not wait."""
-        self.delay(now, 0.0)
+        self.seconds_until_available(now, 0.0)
         self._level = max(self._level - amount, -self.burst)
--- a/sagecove/storage/records.py
+++ b/sagecove/storage/records.py
@@ -17,16 +17,16 @@
 # No submission is longer (bytes) that is looked at without measuring it.
 SPEC_MOST = 1024
 
-LIVE = "s/"
-JOB = "s/job/"
-MACHINE = "s/machine/"
-HOLDER = "s/holder/"
-LAST = "s/last/"
-MEMBER = "s/member/"
-RENTAL = "s/rental/"
-TYPES = "s/types"
-PROVISIONER = "s/role/provisioner"
-OVER = "o/"
+LIVE_PREFIX = "s/"
+JOB_PREFIX = "s/job/"
+MACHINE_PREFIX = "s/machine/"
+HOLDER_PREFIX = "s/holder/"
+LAST_HOLDER_PREFIX = "s/last/"
+MEMBER_PREFIX = "s/member/"
+RENTAL_PREFIX = "s/rental/"
+MACHINE_TYPES_KEY = "s/types"
+PROVISIONER_KEY = "s/role/provisioner"
+FINAL_STATE_PREFIX = "o/"
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
@@ -40,13 +40,15 @@
     sweep: str = ""
 
 
-def tasks_most(record: JobRecord, fin: int, held: int, shards: int, value_kb: float) -> int:
+def max_claimable_tasks(
+    record: JobRecord, fin: int, held: int, shards: int, value_kb: float
+) -> int:
     """How many of a job's tasks may be claimed at a time, in all shards, so that its record fits a
     value (KiB) in whatever order they complete: a set of thousands of numbers out of a hundred
     thousand has no short text. `held`: tasks that are claimed."""
     spec = record.spec
     limit = value_kb * 1024 - 128
-    sets = (shards + 1) * taskset.text_most(spec.tasks, spec.tasks)
+    sets = (shards + 1) * taskset.max_text_bytes(spec.tasks, spec.tasks)
     if sets + SPEC_MOST < limit:
         return spec.tasks
     length = len(msgspec.json.encode(record.spec)) + 64 * shards
@@ -57,15 +59,15 @@
     step = 1 << (spec.tasks.bit_length() - 1)
     while step:
         count = most + step
-        text = taskset.text_most(spec.tasks, count, sets=shards)
-        text += taskset.text_most(spec.tasks, count + holes, runs=True)
+        text = taskset.max_text_bytes(spec.tasks, count, sets=shards)
+        text += taskset.max_text_bytes(spec.tasks, count + holes, runs=True)
         if count <= spec.tasks and length + text < limit:
             most = count
         step //= 2
     return most
 
 
-class OverRecord(msgspec.Struct):
+class FinalStateRecord(msgspec.Struct):
     """A job's final state, written in the transaction that removes its live record."""
 
     state: str
@@ -95,7 +97,7 @@
     vacated: bool = False
 
 
-class LastRecord(msgspec.Struct):
+class LastHolderRecord(msgspec.Struct):
     """Who held a shard last: on no lease, so that it outlives the holder's key."""
 
     node: str
@@ -119,25 +121,25 @@
     at: float
 
 
-class TypesRecord(msgspec.Struct):
+class MachineTypesRecord(msgspec.Struct):
     """The cloud's answer about machine types, as last written down by the provisioner."""
 
     types: list[MachineType]
 
 
 _KINDS: list[tuple[str, Any]] = [
-    (JOB, JobRecord),
-    (MACHINE, MachineRecord),
-    (HOLDER, HolderRecord),
-    (LAST, LastRecord),
-    (MEMBER, MemberRecord),
-    (RENTAL, RentalRecord),
-    (PROVISIONER, HolderRecord),
-    (TYPES, TypesRecord),
+    (JOB_PREFIX, JobRecord),
+    (MACHINE_PREFIX, MachineRecord),
+    (HOLDER_PREFIX, HolderRecord),
+    (LAST_HOLDER_PREFIX, LastHolderRecord),
+    (MEMBER_PREFIX, MemberRecord),
+    (RENTAL_PREFIX, RentalRecord),
+    (PROVISIONER_KEY, HolderRecord),
+    (MACHINE_TYPES_KEY, MachineTypesRecord),
 ]
 
 
-def parse(key: str, raw: Any, more: Iterable[tuple[str, Any]] = ()) -> Any:
+def parse_record(key: str, raw: Any, more: Iterable[tuple[str, Any]] = ()) -> Any:
     """A record from a decoded JSON value; None if it is garbage or of no known kind. `more`: kinds
     beside the core's."""
     for prefix, kind in chain(_KINDS, more):
--- a/sagecove/storage/store.py
+++ b/sagecove/storage/store.py
@@ -13,14 +13,14 @@
 import msgspec
 
 from sagecove.protocol import state as wire
-from sagecove.storage.budget import Budget
+from sagecove.storage.budget import TokenBucket
 
 log = logging.getLogger("sagecove.store")
 
 # A transaction, who hears its outcome, its writes, and how often it was answered 429.
-Entry = tuple[wire.Transaction, "Callable[[Result], None]", int, int]
+QueuedTransaction = tuple[wire.Transaction, "Callable[[Result], None]", int, int]
 
-Send = Callable[[str, str, Any, float, Callable[[int | None, bytes], None]], None]
+SendRequest = Callable[[str, str, Any, float, Callable[[int | None, bytes], None]], None]
 
 
 class Outcome(enum.Enum):
@@ -41,7 +41,7 @@
     failed: tuple[str, ...] = ()
 
 
-def decode(body: bytes, kind: Any) -> Any:
+def decode_answer(body: bytes, kind: Any) -> Any:
     """A decoded answer, or None: garbage counts as no answer."""
     try:
         return msgspec.json.decode(body, type=kind)
@@ -54,32 +54,34 @@
     """Paces and sends requests; `send(method, path, body, timeout, done)` emits one."""
 
     # Lengths of waits for an answer, as seen by a caller whose own users give up after 2 s or 5 s.
-    READ_S = 1.3
-    COMMIT_S = 2.5
-    TRIES = 8
+    READ_TIMEOUT_S = 1.3
+    COMMIT_TIMEOUT_S = 2.5
+    MAX_TRY_COUNT = 8
 
-    def __init__(self, rps: float, write_rps: float, nodes: int, now: float, send: Send) -> None:
+    def __init__(
+        self, rps: float, write_rps: float, nodes: int, now: float, send: SendRequest
+    ) -> None:
         # This controller's share of the limits; a little is left for what others do in bursts.
         share = 0.95 / nodes
-        self.requests = Budget(rps * share, rps * share, now)
-        self.writes = Budget(write_rps * share, write_rps * 0.5, now)
+        self.requests = TokenBucket(rps * share, rps * share, now)
+        self.writes = TokenBucket(write_rps * share, write_rps * 0.5, now)
         # What others leave unused may be had: the share of writes grows while transactions wait
         # and the service takes them, and is back at the fair one with the first 429.
-        self.fair_writes = write_rps * share
-        self.most_writes = write_rps * min(0.6, 2.5 * share)
-        self.grown_at = now
+        self.fair_write_rate = write_rps * share
+        self.max_write_rate = write_rps * min(0.6, 2.5 * share)
+        self.write_rate_raised_at = now
         self.send = send
-        self.waiting: deque[Entry] = deque()
+        self.waiting: deque[QueuedTransaction] = deque()
         # Users and leases wait for these: they go first, and without regard to this controller's
         # share, which the others owe then. All that holds them up is the service's own 429.
-        self.urgent: deque[Entry] = deque()
+        self.urgent: deque[QueuedTransaction] = deque()
         self.hold_until = 0.0
-        self.waiting_most = 400
+        self.max_waiting = 400
 
     def commit(
         self,
         conditions: list[tuple[str, int]],
-        changes: list[wire.Put | wire.Drop],
+        changes: list[wire.Put | wire.Delete],
         done: Callable[[Result], None],
         *,
         urgent: bool = False,
@@ -89,7 +91,7 @@
         entry = (transaction, done, len(changes), 0)
         if urgent:
             self.urgent.append(entry)
-        elif len(self.waiting) >= self.waiting_most:
+        elif len(self.waiting) >= self.max_waiting:
             done(Result(Outcome.REFUSED))
         else:
             self.waiting.append(entry)
@@ -99,9 +101,11 @@
         """Transactions wait to be sent."""
         return bool(self.waiting or self.urgent)
 
-    def short(self, now: float) -> bool:
+    def writes_scarce(self, now: float) -> bool:
         """Writes are scarce: what can do without some should."""
-        return bool(self.urgent) or self.writes.delay(now, self.writes.burst / 4) > 0
+        return (
+            bool(self.urgent) or self.writes.seconds_until_available(now, self.writes.burst / 4) > 0
+        )
 
     def flush(self, now: float) -> float | None:
         """Send what the budgets allow; seconds until more may be sent, None if nothing waits."""
@@ -112,16 +116,19 @@
             if self.urgent:
                 self._send(now, self.urgent.popleft(), self.urgent)
                 continue
-            wait = max(self.requests.delay(now), self.writes.delay(now, self.waiting[0][2]))
+            wait = max(
+                self.requests.seconds_until_available(now),
+                self.writes.seconds_until_available(now, self.waiting[0][2]),
+            )
             if wait > 0:
-                if now - self.grown_at > 0.25:
-                    self.grown_at = now
-                    self.writes.rate = min(self.most_writes, 1.15 * self.writes.rate)
+                if now - self.write_rate_raised_at > 0.25:
+                    self.write_rate_raised_at = now
+                    self.writes.rate = min(self.max_write_rate, 1.15 * self.writes.rate)
                 return wait
             self._send(now, self.waiting.popleft(), self.waiting)
         return None
 
-    def _send(self, now: float, entry: Entry, queue: deque[Entry]) -> None:
+    def _send(self, now: float, entry: QueuedTransaction, queue: deque[QueuedTransaction]) -> None:
         transaction, done, writes, tries = entry
         self.requests.spend(now)
         self.writes.spend(now, writes)
@@ -130,25 +137,25 @@
         def answered(status: int | None, body: bytes) -> None:
             # A 429 says that nothing was executed: the transaction waits for the next moment
             # with room rather than being given up, while its user's patience allows.
-            if status == 429 and tries < self.TRIES:
+            if status == 429 and tries < self.MAX_TRY_COUNT:
                 queue.appendleft((transaction, done, writes, tries + 1))
             else:
                 finish(status, body)
 
-        self.send("POST", "/commit", transaction, self.COMMIT_S, answered)
+        self.send("POST", "/commit", transaction, self.COMMIT_TIMEOUT_S, answered)
 
-    def throttled(self, now: float, pause: float) -> None:
+    def pause_after_throttling(self, now: float, pause: float) -> None:
         """The service answered 429: everybody's burst is spent, so pause (the caller jitters)."""
         self.hold_until = max(self.hold_until, now + pause)
-        self.grown_at = now + 1.0
-        self.writes.rate = self.fair_writes
+        self.write_rate_raised_at = now + 1.0
+        self.writes.rate = self.fair_write_rate
 
     def read(self, now: float, key: str, done: Callable[[int | None, bytes], None]) -> None:
         """Read one key."""
         self.requests.spend(now)
-        self.send("GET", f"/store/{key}", None, self.READ_S, done)
+        self.send("GET", f"/store/{key}", None, self.READ_TIMEOUT_S, done)
 
-    def page(
+    def read_page(
         self, now: float, prefix: str, after: str, done: Callable[[int | None, bytes], None]
     ) -> None:
         """Read a page of a prefix."""
@@ -167,26 +174,30 @@
         """Wait for changes after a revision; with `wait_s` 0 a linearizable read of the changes."""
         self.requests.spend(now)
         path = f"/watch?prefix={prefix}&from={since}&blockMs={round(wait_s * 1000)}"
-        self.send("GET", path, None, wait_s + (self.READ_S if not wait_s else 10.0), done)
+        self.send("GET", path, None, wait_s + (self.READ_TIMEOUT_S if not wait_s else 10.0), done)
 
-    def grant(self, now: float, ttl_s: float, done: Callable[[int | None, bytes], None]) -> None:
+    def grant_lease(
+        self, now: float, ttl_s: float, done: Callable[[int | None, bytes], None]
+    ) -> None:
         """Ask for a lease."""
         self.requests.spend(now)
-        self.send("POST", "/grants", wire.Grant(round(ttl_s * 1000)), self.READ_S, done)
+        self.send("POST", "/grants", wire.Grant(round(ttl_s * 1000)), self.READ_TIMEOUT_S, done)
 
-    def renew(self, now: float, lease: int, done: Callable[[int | None, bytes], None]) -> None:
+    def renew_lease(
+        self, now: float, lease: int, done: Callable[[int | None, bytes], None]
+    ) -> None:
         """Renew a lease."""
         self.requests.spend(now)
-        self.send("POST", f"/grants/{lease}/renew", None, self.READ_S, done)
+        self.send("POST", f"/grants/{lease}/renew", None, self.READ_TIMEOUT_S, done)
 
 
 def _committed(done: Callable[[Result], None]) -> Callable[[int | None, bytes], None]:
     def answered(status: int | None, body: bytes) -> None:
         if status == 200:
-            revision = decode(body, wire.Revision)
+            revision = decode_answer(body, wire.Revision)
             done(Result(Outcome.DONE, revision.revision) if revision else Result(Outcome.UNKNOWN))
         elif status == 409:
-            conflict = decode(body, wire.Conflict)
+            conflict = decode_answer(body, wire.Conflict)
             failed = tuple(conflict.failed) if conflict else ()
             done(Result(Outcome.CONFLICT, conflict.revision if conflict else 0, failed))
         elif status in (429, 503, 0):
--- a/sagecove/storage/taskset.py
+++ b/sagecove/storage/taskset.py
@@ -76,7 +76,7 @@
     return bits
 
 
-def text_most(tasks: int, members: int, *, sets: int = 1, runs: bool = False) -> int:
+def max_text_bytes(tasks: int, members: int, *, sets: int = 1, runs: bool = False) -> int:
     """Bytes that so many members of a job's tasks take at most as text, in one set or several; with
     `runs`, a set in which so many are missing."""
     digits = len(str(tasks))
--- a/sagecove/sweeps/admission.py
+++ b/sagecove/sweeps/admission.py
@@ -11,10 +11,18 @@
 import msgspec
 
 from sagecove.storage import taskset
-from sagecove.sweeps.expand import Axis, Listed, Node, Space, SpaceError, Value, check
-from sagecove.sweeps.grammar import GrammarError, parse
-from sagecove.sweeps.records import SWEEP_ID, Parameter, SweepRecord, Template
-from sagecove.sweeps.template import Form, TemplateError
+from sagecove.sweeps.grammar import GrammarError, parse_space
+from sagecove.sweeps.parameter_space import (
+    Axis,
+    Node,
+    Space,
+    SpaceError,
+    Value,
+    ValueList,
+    check_space,
+)
+from sagecove.sweeps.records import SWEEP_ID_PATTERN, Parameter, SweepRecord, Template
+from sagecove.sweeps.template import CompiledTemplate, TemplateError
 
 # Points in a block: the more, the fewer writes; the fewer, the less controllers get in each
 # other's way. Each controller is to have several blocks of its own even of a small sweep.
@@ -22,7 +30,7 @@
 BLOCKS_EACH = 8
 
 
-class Refused(Exception):
+class RequestRefused(Exception):
     """A request that can't be granted: HTTP status and the reason."""
 
     def __init__(self, status: int, reason: str) -> None:
@@ -59,57 +67,59 @@
     values: dict[str, Value] = {}
 
 
-def decoded(body: bytes, kind: Any) -> Any:
+def decode_request(body: bytes, kind: Any) -> Any:
     """A request's body, or `Refused` with 400."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        raise Refused(400, str(error)[:300]) from None
+        raise RequestRefused(400, str(error)[:300]) from None
 
 
-def read_sweep(body: bytes) -> SweepRequest:
+def decode_sweep_request(body: bytes) -> SweepRequest:
     """A submission that is in form: `Refused` with 400 otherwise."""
-    request: SweepRequest = decoded(body, SweepRequest)
-    check_id(request.id)
+    request: SweepRequest = decode_request(body, SweepRequest)
+    check_sweep_id(request.id)
     if (request.template is None) == (request.job is None):
-        raise Refused(400, "either `template` or `job` must be given, and not both")
+        raise RequestRefused(400, "either `template` or `job` must be given, and not both")
     if request.template is not None and request.parameters is not None:
-        raise Refused(400, "`parameters` are the template's to say")
+        raise RequestRefused(400, "`parameters` are the template's to say")
     if request.template is None and request.version is not None:
-        raise Refused(400, "`version` goes with `template`")
+        raise RequestRefused(400, "`version` goes with `template`")
     return request
 
 
-def check_id(sweep_id: str) -> None:
+def check_sweep_id(sweep_id: str) -> None:
     """A sweep's id has a job's form, with room for a point's number."""
-    if not SWEEP_ID.match(sweep_id):
-        raise Refused(400, "`id` must be `run-` and 1 to 90 letters, digits, `_`, `.` or `-`")
+    if not SWEEP_ID_PATTERN.match(sweep_id):
+        raise RequestRefused(
+            400, "`id` must be `run-` and 1 to 90 letters, digits, `_`, `.` or `-`"
+        )
 
 
-def space_of(text: str, most: int) -> Space:
+def requested_space(text: str, most: int) -> Space:
     """The space an expression stands for; `Refused` names the place."""
     try:
-        space = parse(text)
+        space = parse_space(text)
     except GrammarError as error:
-        raise Refused(400, f"`space`, {error}") from None
+        raise RequestRefused(400, f"`space`, {error}") from None
     try:
-        check(space, most)
+        check_space(space, most)
     except SpaceError as error:
-        raise Refused(422, f"`space`: {error}") from None
+        raise RequestRefused(422, f"`space`: {error}") from None
     return space
 
 
 def check_template(template: Template, limit: float) -> None:
     """Whether a template may be kept: `Refused` with 422, or 413 if it is over `limit` bytes."""
     if len(msgspec.json.encode(template)) > limit:
-        raise Refused(413, f"the template is longer than {limit:.0f} bytes")
+        raise RequestRefused(413, f"the template is longer than {limit:.0f} bytes")
     try:
-        Form(template).check()
+        CompiledTemplate(template).check_template()
     except TemplateError as error:
-        raise Refused(422, str(error)) from None
+        raise RequestRefused(422, str(error)) from None
 
 
-def inline(request: SweepRequest, space: Space) -> Template:
+def inline_template(request: SweepRequest, space: Space) -> Template:
     """The template that a job written into the submission stands for; parameters that are not
     described are taken from the space's values."""
     assert request.job is not None
@@ -126,9 +136,9 @@
 
 def _kind(axis: Axis) -> str:
     source = axis.source
-    if isinstance(source, Listed):
+    if isinstance(source, ValueList):
         return _kind_of(source.values)
-    return _kind_of([source.at(k) for k in {0, source.count() // 2, source.count() - 1}])
+    return _kind_of([source.value_at(k) for k in {0, source.count() // 2, source.count() - 1}])
 
 
 def _kind_of(values: list[Value]) -> str:
@@ -141,7 +151,7 @@
     return "text"
 
 
-def admit(
+def build_sweep_record(
     request: SweepRequest,
     template: Template,
     space: Space,
@@ -151,27 +161,29 @@
     only: int = 0,
 ) -> SweepRecord:
     """The record of a sweep that may begin; `Refused` otherwise. `limit`: bytes it may have."""
-    form = Form(template)
+    form = CompiledTemplate(template)
     if request.job is not None:
         check_template(template, limit)
     names = space.names()
     for name in names:
         if name not in form.parameters:
             known = ", ".join(form.parameters) or "none"
-            raise Refused(422, f"{form.title} has no parameter {name}; it has: {known}")
+            raise RequestRefused(422, f"{form.title} has no parameter {name}; it has: {known}")
         if name in request.values:
-            raise Refused(422, f"parameter {name} is both in `space` and in `values`")
+            raise RequestRefused(422, f"parameter {name} is both in `space` and in `values`")
     try:
         form.check_values(request.values)
     except TemplateError as error:
-        raise Refused(422, str(error)) from None
-    for name in sorted(form.used()):
+        raise RequestRefused(422, str(error)) from None
+    for name in sorted(form.referenced_names()):
         if name in form.parameters and name not in {*names, *request.values, *form.defaults}:
-            raise Refused(422, f"{form.title}, parameter {name}: not given, and it has no default")
+            raise RequestRefused(
+                422, f"{form.title}, parameter {name}: not given, and it has no default"
+            )
     block = max(BLOCK_LEAST, min(BLOCK_MOST, space.count() // (BLOCKS_EACH * nodes)))
     record = SweepRecord(
         request.id, at, template, space, request.values, block, taskset.encode(only)
     )
     if len(msgspec.json.encode(record)) > limit:
-        raise Refused(413, f"the sweep's description is longer than {limit:.0f} bytes")
+        raise RequestRefused(413, f"the sweep's description is longer than {limit:.0f} bytes")
     return record
--- a/sagecove/sweeps/claims.py
+++ b/sagecove/sweeps/blocks.py
@@ -14,16 +14,23 @@
 
 from sagecove.coordination.model import JobRun, Shard
 from sagecove.protocol import state as wire
-from sagecove.protocol.users import CANCELLED, DONE, Status
+from sagecove.protocol.users import CANCELLED, DONE, JobStatus
 from sagecove.storage import taskset
-from sagecove.storage.records import HOLDER, JOB, OVER, JobRecord
+from sagecove.storage.records import FINAL_STATE_PREFIX, HOLDER_PREFIX, JOB_PREFIX, JobRecord
 from sagecove.storage.store import Outcome, Result
 from sagecove.storage.taskset import members
-from sagecove.sweeps.model import Sweep, decoded
-from sagecove.sweeps.records import BLOCK, BLOCK_OVER, SWEEP, BlockRecord, block_key, point_id
+from sagecove.sweeps.model import Sweep, decode_block
+from sagecove.sweeps.records import (
+    BLOCK_PREFIX,
+    ENDED_BLOCK_PREFIX,
+    SWEEP_PREFIX,
+    BlockRecord,
+    block_key,
+    point_id,
+)
 
 if TYPE_CHECKING:
-    from sagecove.sweeps.decisions import Sweeps
+    from sagecove.sweeps.manager import SweepManager
 
 log = logging.getLogger("sagecove.sweeps")
 
@@ -35,21 +42,21 @@
 class Block:
     """A block of a live sweep, and the home of its points' jobs."""
 
-    def __init__(self, feature: Sweeps, sweep: Sweep, number: int) -> None:
+    def __init__(self, feature: SweepManager, sweep: Sweep, number: int) -> None:
         self.feature = feature
         self.owner = feature.owner
         self.sweep = sweep
         self.number = number
-        self.first = number * sweep.block
-        self.size = min(sweep.block, sweep.size - self.first)
-        self.key = block_key(BLOCK, sweep.id, number)
+        self.first_point = number * sweep.block_size
+        self.size = min(sweep.block_size, sweep.size - self.first_point)
+        self.key = block_key(BLOCK_PREFIX, sweep.id, number)
         self.stamp = 0
         self.claims: dict[str, int] = {}
         self.done = 0
         self.cancelled = 0
         # Points with records of their own that are not known to be over.
         self.made = 0
-        self.failed: dict[int, str] = {}
+        self.failure_reasons: dict[int, str] = {}
         # Left out by the filter: known once the block has been looked through.
         self.left_out = 0
         self.scanned = False
@@ -74,7 +81,7 @@
     def over(self) -> int:
         """Points that are over."""
         bits = self.done | self.cancelled
-        for k in self.failed:
+        for k in self.failure_reasons:
             bits |= 1 << k
         return bits
 
@@ -98,7 +105,7 @@
             taskset.encode(self.done),
             taskset.encode(self.cancelled),
             taskset.encode(self.made),
-            {str(k): why for k, why in self.failed.items()},
+            {str(k): why for k, why in self.failure_reasons.items()},
         )
 
     def update(self, record: BlockRecord, stamp: int) -> None:
@@ -106,24 +113,24 @@
         owner, sweep = self.owner, self.sweep
         before_over, before, gone = self.over, self.claims, self.claimed
         self.stamp = stamp
-        sets = decoded(record, self.size)
-        self.claims, self.done, self.cancelled, self.failed = (
+        sets = decode_block(record, self.size)
+        self.claims, self.done, self.cancelled, self.failure_reasons = (
             *(sets.claims, sets.done, sets.cancelled, sets.failed),
         )
         for k in members(sets.made & ~self.made):
-            sweep.forget(self.first + k)
+            sweep.forget(self.first_point + k)
         self.made = sets.made
         over = self.over
         for k in members(over & ~before_over):
-            sweep.forget(self.first + k)
-            job_id = point_id(sweep.id, self.first + k)
+            sweep.forget(self.first_point + k)
+            job_id = point_id(sweep.id, self.first_point + k)
             job = owner.jobs.get(job_id)
             if job is not None:
                 owner.job_over(job)
             if self.done >> k & 1:
-                self.feature.remember(job_id, DONE)
+                self.feature.remember_final_state(job_id, DONE)
             elif self.cancelled >> k & 1:
-                self.feature.remember(job_id, CANCELLED)
+                self.feature.remember_final_state(job_id, CANCELLED)
         gone &= ~self.claimed
         for shard, bits in self.claims.items():
             for k in members(bits & ~before.get(shard, 0) & ~over):
@@ -139,20 +146,20 @@
 
     def _run(self, k: int) -> JobRun | None:
         """The job of a point, made if it is not there yet."""
-        job_id = point_id(self.sweep.id, self.first + k)
+        job_id = point_id(self.sweep.id, self.first_point + k)
         job = self.owner.jobs.get(job_id)
         if job is None:
-            spec = self.sweep.spec(self.first + k)
+            spec = self.sweep.point_spec(self.first_point + k)
             if spec is None or isinstance(spec, str):
                 return None
-            job = JobRun(JobRecord(spec, self.sweep.at(self.first + k)), self.stamp)
+            job = JobRun(JobRecord(spec, self.sweep.at(self.first_point + k)), self.stamp)
             job.durable_state = self
             self.owner.job_seen(job)
         return job
 
     def _claimed(self, k: int, shard: str) -> None:
         job = self._run(k)
-        self.sweep.forget(self.first + k)
+        self.sweep.forget(self.first_point + k)
         if job is not None:
             job.apply_record(JobRecord(job.spec, job.submitted_at, {shard: "0"}), self.stamp)
             self.owner.backlog.reclassify(job)
@@ -164,21 +171,21 @@
             job.apply_record(JobRecord(job.spec, job.submitted_at), self.stamp)
             self.owner.backlog.reclassify(job)
             self.owner.ledger.update_claims(job)
-            self.sweep.group(job.spec).open |= 1 << (self.first + k)
+            self.sweep.group_of(job.spec).claimable |= 1 << (self.first_point + k)
 
     def open(self, k: int) -> None:
         """A waiting point becomes a job that may be claimed."""
         job = self._run(k)
-        bit = 1 << (self.first + k)
+        bit = 1 << (self.first_point + k)
         if job is not None:
-            group = self.sweep.group(job.spec)
+            group = self.sweep.group_of(job.spec)
             group.waiting &= ~bit
-            group.open |= bit
+            group.claimable |= bit
 
     # -- what the core decides ------------------------------------------------------------------
 
     def _number(self, job: JobRun) -> int:
-        return int(job.id.rpartition(".p")[2]) - self.first
+        return int(job.id.rpartition(".p")[2]) - self.first_point
 
     def write_claim(self, job: JobRun, shard: Shard, bits: int) -> None:
         """Claim a point, see `ports.Home`."""
@@ -206,7 +213,7 @@
     def cancel_point(self, k: int, exchange: Any) -> None:
         """Cancel a point, a job here or not, and answer its user once that is durable."""
         owner, users = self.owner, self.owner.users
-        job_id = point_id(self.sweep.id, self.first + k)
+        job_id = point_id(self.sweep.id, self.first_point + k)
         record = self.record()
         for shard, bits in self.claims.items():
             if bits >> k & 1:
@@ -220,13 +227,13 @@
                 owner.cancellations.raise_floor(result.revision)
                 owner.peers.announce_cancellation(job_id)
                 log.info("cancelled job=%s", job_id)
-                users.reply(exchange, 200, Status(job_id, CANCELLED))
+                users.reply(exchange, 200, JobStatus(job_id, CANCELLED))
             elif result.outcome is Outcome.CONFLICT:
                 users.answer_after_read("cancel", job_id, exchange)
             else:
                 users.refuse_state_unavailable(exchange)
 
-        conditions = [*self._unchanged(), (SWEEP + self.sweep.id, self.sweep.stamp)]
+        conditions = [*self._unchanged(), (SWEEP_PREFIX + self.sweep.id, self.sweep.stamp)]
         owner.commit(conditions, [wire.Put(self.key, record)], done, urgent=True)
 
     # -- points with records of their own -----------------------------------------------------
@@ -237,16 +244,16 @@
         sweep = self.sweep
         record = self.record()
         made = self.made
-        jobs: list[wire.Put | wire.Drop] = []
+        jobs: list[wire.Put | wire.Delete] = []
         conditions = self._conditions(shard)
         for k in points:
-            spec = sweep.spec(self.first + k)
+            spec = sweep.point_spec(self.first_point + k)
             if spec is None or isinstance(spec, str):
                 continue
             made |= 1 << k
-            job = JobRecord(spec, sweep.at(self.first + k), sweep=sweep.id)
-            jobs.append(wire.Put(JOB + spec.id, job))
-            conditions += [(JOB + spec.id, 0), (OVER + spec.id, 0)]
+            job = JobRecord(spec, sweep.at(self.first_point + k), sweep=sweep.id)
+            jobs.append(wire.Put(JOB_PREFIX + spec.id, job))
+            conditions += [(JOB_PREFIX + spec.id, 0), (FINAL_STATE_PREFIX + spec.id, 0)]
         record.made = taskset.encode(made)
         self._commit(shard, conditions, [wire.Put(self.key, record), *jobs], [], [])
 
@@ -281,15 +288,17 @@
         """The block is as it was, the shard is held under this term, the sweep is alive."""
         return [
             *self._unchanged(),
-            (HOLDER + shard.name, shard.term),
-            (SWEEP + self.sweep.id, self.sweep.stamp),
+            (HOLDER_PREFIX + shard.name, shard.term),
+            (SWEEP_PREFIX + self.sweep.id, self.sweep.stamp),
         ]
 
     def _unchanged(self) -> list[tuple[str, int]]:
         """The block is as it was. One that had never been written is absent again once it is over:
         a first claim carried out late brought it back, and its points were told to wait that had
         been told to be done."""
-        never = [] if self.stamp else [(block_key(BLOCK_OVER, self.sweep.id, self.number), 0)]
+        never = (
+            [] if self.stamp else [(block_key(ENDED_BLOCK_PREFIX, self.sweep.id, self.number), 0)]
+        )
         return [(self.key, self.stamp), *never]
 
     # -- writing --------------------------------------------------------------------------------
@@ -343,7 +352,7 @@
         claiming = _of(self.claiming, shard)
         giving = _of(self.giving, shard)
         finishing = _of(self.finishing, shard)
-        changes: list[wire.Put | wire.Drop] = []
+        changes: list[wire.Put | wire.Delete] = []
         conditions = self._conditions(shard)
         for team in list(dict.fromkeys(job.spec.team for job, _ in claiming.values())):
             if not owner.limits.claims_within_share(shard.name, team):
@@ -352,7 +361,7 @@
                     if job.spec.team == team:
                         del claiming[k]
                         self._settle(job)
-                        job.claim_after = owner.now + owner.settings.poll_s / 2
+                        job.claim_after = owner.now + owner.settings.poll_interval_s / 2
         if not claiming and not giving and not finishing:
             return
         record = self.record()
@@ -380,7 +389,7 @@
         self,
         shard: Shard,
         conditions: list[tuple[str, int]],
-        changes: list[wire.Put | wire.Drop],
+        changes: list[wire.Put | wire.Delete],
         jobs: list[JobRun],
         giving: list[JobRun],
         doubtful: bool = False,
@@ -437,10 +446,12 @@
             return True
         record = self.record()
         # All of a block may fail: its reasons take half of a value at most.
-        length = int(self.owner.settings.params.state.value_kb * 512 / self.sweep.block)
+        length = int(self.owner.settings.params.state.value_kb * 512 / self.sweep.block_size)
         for k, why in sorted(self.bad.items()):
             record.failed[str(k)] = why[:length]
-            log.info("point failed job=%s why=%s", point_id(self.sweep.id, self.first + k), why)
+            log.info(
+                "point failed job=%s why=%s", point_id(self.sweep.id, self.first_point + k), why
+            )
         self._commit(shard, self._conditions(shard), [wire.Put(self.key, record)], [], [])
         return True
 
--- a/sagecove/sweeps/commands.py
+++ b/sagecove/sweeps/commands.py
@@ -10,7 +10,7 @@
 from typing import Any
 from urllib.parse import quote
 
-from sagecove.ask import Failed, ask, read_json
+from sagecove.controller_client import RequestFailed, ask_controllers, read_json
 
 WAIT_S = 2.0
 OVER = ("done", "aborted")
@@ -21,7 +21,7 @@
 
 
 def _post(args: argparse.Namespace, path: str, body: Any) -> Any:
-    return ask(args.controllers, "POST", path, json.dumps(body).encode())
+    return ask_controllers(args.controllers, "POST", path, json.dumps(body).encode())
 
 
 def parser(asking: argparse.ArgumentParser, noun: str) -> argparse.ArgumentParser:
@@ -106,7 +106,7 @@
 
 def _submit(args: argparse.Namespace) -> int:
     body = read_json(args.file)
-    answer = ask(args.controllers, "POST", _path("sweeps"), body)
+    answer = ask_controllers(args.controllers, "POST", _path("sweeps"), body)
     if args.wait:
         args.sweep = answer["id"]
         return _follow(args)
@@ -117,7 +117,9 @@
 
 
 def _preview(args: argparse.Namespace) -> int:
-    answer = ask(args.controllers, "POST", _path("sweeps", "preview"), read_json(args.file))
+    answer = ask_controllers(
+        args.controllers, "POST", _path("sweeps", "preview"), read_json(args.file)
+    )
     lines = [f"{answer['points']} points, the first of them:"]
     for point in answer["first"]:
         values = json.dumps(point["values"])
@@ -126,7 +128,7 @@
 
 
 def _list(args: argparse.Namespace) -> int:
-    answer = ask(args.controllers, "GET", _path("sweeps"))
+    answer = ask_controllers(args.controllers, "GET", _path("sweeps"))
     return _print(args, answer, [_line(s) for s in answer["sweeps"]] or ["no sweep is under way"])
 
 
@@ -151,11 +153,11 @@
 def _status(args: argparse.Namespace) -> int:
     if args.wait:
         return _follow(args)
-    answer = ask(args.controllers, "GET", _path("sweeps", args.sweep))
-    return _print(args, answer, [_line(answer), *_failures(answer)])
+    answer = ask_controllers(args.controllers, "GET", _path("sweeps", args.sweep))
+    return _print(args, answer, [_line(answer), *_failure_lines(answer)])
 
 
-def _failures(answer: dict[str, Any]) -> list[str]:
+def _failure_lines(answer: dict[str, Any]) -> list[str]:
     """A line for each reason: of thousands of points that fail most do so alike."""
     lines = []
     for reason in answer["reasons"]:
@@ -174,8 +176,8 @@
     cancelled. Progress goes to standard error, on a terminal only."""
     while True:
         try:
-            answer = ask(args.controllers, "GET", _path("sweeps", args.sweep))
-        except Failed as error:
+            answer = ask_controllers(args.controllers, "GET", _path("sweeps", args.sweep))
+        except RequestFailed as error:
             if error.status not in (None, 429, 503, 504):
                 raise
         else:
@@ -194,7 +196,9 @@
     query = f"?from={args.first}&most={args.most}" + (f"&state={args.state}" if args.state else "")
     found: list[dict[str, Any]] = []
     while True:
-        answer = ask(args.controllers, "GET", _path("sweeps", args.sweep, "points") + query)
+        answer = ask_controllers(
+            args.controllers, "GET", _path("sweeps", args.sweep, "points") + query
+        )
         found += answer["points"]
         left = args.most - len(found)
         if answer["next"] is None or left <= 0:
@@ -209,7 +213,7 @@
 
 
 def _cancel(args: argparse.Namespace) -> int:
-    answer = ask(args.controllers, "POST", _path("sweeps", args.sweep, "cancel"), b"")
+    answer = ask_controllers(args.controllers, "POST", _path("sweeps", args.sweep, "cancel"), b"")
     return _print(args, answer, [_line(answer)])
 
 
@@ -224,19 +228,19 @@
 
 
 def _template_put(args: argparse.Namespace) -> int:
-    answer = ask(args.controllers, "POST", _path("templates"), read_json(args.file))
+    answer = ask_controllers(args.controllers, "POST", _path("templates"), read_json(args.file))
     return _print(args, answer, [f"{answer['name']}: version {answer['version']}"])
 
 
 def _template_list(args: argparse.Namespace) -> int:
-    answer = ask(args.controllers, "GET", _path("templates"))
+    answer = ask_controllers(args.controllers, "GET", _path("templates"))
     lines = [f"{t['name']}: version {t['version']}  {t['about']}" for t in answer["templates"]]
     return _print(args, answer, lines or ["there are no templates"])
 
 
 def _get_template(args: argparse.Namespace, version: int | None) -> Any:
     query = f"?version={version}" if version is not None else ""
-    return ask(args.controllers, "GET", _path("templates", args.name) + query)
+    return ask_controllers(args.controllers, "GET", _path("templates", args.name) + query)
 
 
 def _template_show(args: argparse.Namespace) -> int:
--- a/sagecove/sweeps/feature.py
+++ b/sagecove/sweeps/feature.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from sagecove.config import SettingsError
-from sagecove.sweeps.decisions import TXN_LEAST, Sweeps
+from sagecove.sweeps.manager import TXN_LEAST, SweepManager
 
 if TYPE_CHECKING:
     from sagecove.coordination.owner import Owner
@@ -20,11 +20,11 @@
     window: Annotated[int, msgspec.Meta(ge=32, le=5000)] = 384
 
 
-def make(owner: Owner, options: Options) -> Sweeps:
+def make(owner: Owner, options: Options) -> SweepManager:
     """The feature for an owner; `SettingsError` if the state service's limits are too low."""
     ops = owner.settings.params.state.txn_ops
     if ops < TXN_LEAST:
         raise SettingsError(
             f"sweeps need transactions of {TXN_LEAST} changes: `$.cluster.state.txn_ops` is {ops}"
         )
-    return Sweeps(owner, options.points_most, options.window)
+    return SweepManager(owner, options.points_most, options.window)
--- a/sagecove/sweeps/grammar.py
+++ b/sagecove/sweeps/grammar.py
@@ -14,7 +14,7 @@
 from lark import Lark, Token, Transformer, UnexpectedInput, UnexpectedToken
 from lark.exceptions import VisitError
 
-from sagecove.sweeps import expand as e
+from sagecove.sweeps import parameter_space as e
 
 GRAMMAR = r"""
 start: _product tail
@@ -88,8 +88,8 @@
     def axis(self, parts: list[Any]) -> e.Axis:
         return e.Axis(str(parts[0]), parts[1])
 
-    def listed(self, parts: list[Any]) -> e.Listed:
-        return e.Listed(parts)
+    def listed(self, parts: list[Any]) -> e.ValueList:
+        return e.ValueList(parts)
 
     def range(self, parts: list[Any]) -> e.Range:
         step = parts[2] if len(parts) > 2 else 1 if parts[1] >= parts[0] else -1
@@ -180,7 +180,7 @@
     return Lark(GRAMMAR, parser="lalr")
 
 
-def parse(text: str) -> e.Space:
+def parse_space(text: str) -> e.Space:
     """A space from its text; `GrammarError` names the place."""
     if len(text) > 8000:
         raise GrammarError(1, 1, f"the expression has {len(text)} characters; 8000 are allowed")
@@ -237,7 +237,7 @@
 
 
 def _source(source: e.Source) -> str:
-    if isinstance(source, e.Listed):
+    if isinstance(source, e.ValueList):
         return "[" + ", ".join(_literal(value) for value in source.values) + "]"
     if isinstance(source, e.Range):
         usual = 1 if source.last >= source.first else -1
@@ -253,7 +253,7 @@
     if isinstance(part, e.Compare):
         return f"{_operand(part.left)} {part.op} {_operand(part.right)}"
     if isinstance(part, e.Member):
-        return f"{_operand(part.left)} in {_source(e.Listed(part.values))}"
+        return f"{_operand(part.left)} in {_source(e.ValueList(part.values))}"
     word, inner = (" or ", 1) if isinstance(part, e.Some) else (" and ", 2)
     text = word.join(_condition(p, inner) for p in part.parts)
     needs = depth > 1 or (depth == 1 and isinstance(part, e.Some))
