--- a/sagecove/sweeps/decisions.py
+++ b/sagecove/sweeps/manager.py
@@ -20,12 +20,12 @@
 from sagecove.protocol.users import CANCELLED, DONE
 from sagecove.storage import taskset
 from sagecove.storage.mirror import Event
-from sagecove.storage.records import JOB, MEMBER, OVER, OverRecord
-from sagecove.storage.store import Outcome, Result, decode
+from sagecove.storage.records import FINAL_STATE_PREFIX, JOB_PREFIX, MEMBER_PREFIX, FinalStateRecord
+from sagecove.storage.store import Outcome, Result, decode_answer
 from sagecove.storage.taskset import members
 from sagecove.sweeps import records as r
-from sagecove.sweeps.claims import Block
-from sagecove.sweeps.model import Group, Sweep
+from sagecove.sweeps.blocks import Block
+from sagecove.sweeps.model import PointGroup, Sweep
 
 if TYPE_CHECKING:
     from sagecove.coordination.effects import IncomingRequest
@@ -48,7 +48,7 @@
 ASKING_MOST = 4
 
 
-class Sweeps:
+class SweepManager:
     """The feature. `window`: so many unclaimed points are jobs at a time, over all sweeps."""
 
     def __init__(self, owner: Owner, points_most: int, window: int) -> None:
@@ -56,13 +56,13 @@
         self.points_most = points_most
         self.window = window
         self.records: list[tuple[str, Any]] = [
-            (r.SWEEP, r.SweepRecord),
-            (r.BLOCK, r.BlockRecord),
-            (r.PROGRESS, r.ProgressRecord),
+            (r.SWEEP_PREFIX, r.SweepRecord),
+            (r.BLOCK_PREFIX, r.BlockRecord),
+            (r.PROGRESS_PREFIX, r.ProgressRecord),
         ]
         self.sweeps: dict[str, Sweep] = {}
         # Blocks as the mirror has them, their sweep known or not: by sweep and number.
-        self.stored: dict[str, dict[int, tuple[r.BlockRecord, int]]] = {}
+        self.stored_blocks: dict[str, dict[int, tuple[r.BlockRecord, int]]] = {}
         self.touched: dict[str, Block] = {}
         # Jobs with records of their own, by sweep; and what is being read about such that ended.
         self.made: dict[str, dict[str, JobRun]] = {}
@@ -72,7 +72,7 @@
         self.passed_at = -1e9
         # Points that are over, bounded; what fell out is read again. Not among the core's: a job
         # submitted under a point's id must not be told that it is done.
-        self.finals: OrderedDict[str, str] = OrderedDict()
+        self.final_states: OrderedDict[str, str] = OrderedDict()
         self.clearing = False
         self._routes: Routes | None = None
 
@@ -80,26 +80,26 @@
 
     def key_changed(self, event: Event) -> None:
         """A key of ours has changed."""
-        if event.key.startswith(r.BLOCK):
+        if event.key.startswith(r.BLOCK_PREFIX):
             self._block_changed(event)
-        elif event.key.startswith(r.PROGRESS):
-            sweep = self.sweeps.get(event.key[len(r.PROGRESS) :])
+        elif event.key.startswith(r.PROGRESS_PREFIX):
+            sweep = self.sweeps.get(event.key[len(r.PROGRESS_PREFIX) :])
             if sweep is not None and event.value is not None:
-                self._progressed(sweep, event.value, event.stamp)
+                self._progressed(sweep, event.value, event.revision)
         elif event.value is None:
-            self._sweep_gone(event.key[len(r.SWEEP) :])
+            self._sweep_gone(event.key[len(r.SWEEP_PREFIX) :])
         else:
-            self._sweep_new(event.value, event.stamp)
+            self._sweep_new(event.value, event.revision)
 
     def _sweep_new(self, record: r.SweepRecord, stamp: int) -> None:
         owner = self.owner
         sweep = Sweep(record, stamp, owner.settings.node, owner.settings.nodes)
         self.sweeps[record.id] = sweep
-        progress = owner.mirror.items.get(r.PROGRESS + record.id)
+        progress = owner.mirror.items.get(r.PROGRESS_PREFIX + record.id)
         if progress is not None and progress.value is not None:
-            self._progressed(sweep, progress.value, progress.stamp)
-        for number, (block, block_stamp) in self.stored.get(record.id, {}).items():
-            self.block(sweep, number).update(block, block_stamp)
+            self._progressed(sweep, progress.value, progress.revision)
+        for number, (block, block_stamp) in self.stored_blocks.get(record.id, {}).items():
+            self.get_block(sweep, number).update(block, block_stamp)
         owner.jobs_changed = True
 
     def _sweep_gone(self, sweep_id: str) -> None:
@@ -121,17 +121,17 @@
         return isinstance(home, Block) and home.sweep is sweep
 
     def _block_changed(self, event: Event) -> None:
-        sweep_id, number = r.split_block(event.key)
+        sweep_id, number = r.parse_block_key(event.key)
         sweep = self.sweeps.get(sweep_id)
         if event.value is None:
-            blocks = self.stored.get(sweep_id, {})
+            blocks = self.stored_blocks.get(sweep_id, {})
             blocks.pop(number, None)
             if not blocks:
-                self.stored.pop(sweep_id, None)
+                self.stored_blocks.pop(sweep_id, None)
             return
-        self.stored.setdefault(sweep_id, {})[number] = (event.value, event.stamp)
+        self.stored_blocks.setdefault(sweep_id, {})[number] = (event.value, event.revision)
         if sweep is not None and not sweep.over_blocks >> number & 1:
-            self.block(sweep, number).update(event.value, event.stamp)
+            self.get_block(sweep, number).update(event.value, event.revision)
 
     def _progressed(self, sweep: Sweep, record: r.ProgressRecord, stamp: int) -> None:
         sweep.progress, sweep.progress_stamp = record, stamp
@@ -143,9 +143,9 @@
                 mask = sweep.mask(number)
                 for group in sweep.groups.values():
                     group.waiting &= ~mask
-                    group.open &= ~mask
+                    group.claimable &= ~mask
 
-    def block(self, sweep: Sweep, number: int) -> Block:
+    def get_block(self, sweep: Sweep, number: int) -> Block:
         """A block of a live sweep that is not over."""
         found = sweep.blocks.get(number)
         if found is None:
@@ -173,27 +173,27 @@
             return
         share = max(4, self.window // len(self.sweeps))
         for sweep in list(self.sweeps.values()):
-            if sweep.scanned < len(sweep.order):
+            if sweep.scanned_count < len(sweep.scan_order):
                 self._scan(sweep, int(min(SCAN_MOST, SCAN_RATE * (now - self.passed_at))))
         self.passed_at = now
         for sweep in list(self.sweeps.values()):
-            ready = sum(group.open.bit_count() for group in sweep.groups.values())
+            ready = sum(group.claimable.bit_count() for group in sweep.groups.values())
             for group in list(sweep.groups.values()):
                 if group.heavy:
                     self._make(sweep, group, max(2, share // len(sweep.groups) // HEAVY), now)
                 elif ready < share:
                     self._fill(sweep, group, max(4, share // len(sweep.groups)))
 
-    def _fill(self, sweep: Sweep, group: Group, most: int) -> None:
-        for _ in range(most - group.open.bit_count()):
+    def _fill(self, sweep: Sweep, group: PointGroup, most: int) -> None:
+        for _ in range(most - group.claimable.bit_count()):
             k = sweep.next_waiting(group)
             if k is None:
                 return
-            number, offset = divmod(k, sweep.block)
+            number, offset = divmod(k, sweep.block_size)
             group.waiting &= ~(1 << k)
-            self.block(sweep, number).open(offset)
+            self.get_block(sweep, number).open(offset)
 
-    def _make(self, sweep: Sweep, group: Group, most: int, now: float) -> None:
+    def _make(self, sweep: Sweep, group: PointGroup, most: int, now: float) -> None:
         """Have a few points of more than one task ready to be claimed, as jobs."""
         k = sweep.next_waiting(group)
         shard = self.owner.held_shards.get(self.owner.settings.node)
@@ -202,28 +202,28 @@
         ready = sum(
             1
             for job in self.made.get(sweep.id, {}).values()
-            if job.unclaimed and sweep.group(job.spec) is group
+            if job.unclaimed and sweep.group_of(job.spec) is group
         )
-        number = k // sweep.block
-        block = self.block(sweep, number)
+        number = k // sweep.block_size
+        block = self.get_block(sweep, number)
         most = min(most - ready, self.owner.settings.params.state.txn_ops // 2)
-        if most <= 0 or block.busy or self.owner.store.short(now):
+        if most <= 0 or block.busy or self.owner.store.writes_scarce(now):
             return
         points = []
         for k in members(group.waiting & sweep.mask(number)):
-            points.append(k - block.first)
+            points.append(k - block.first_point)
             if len(points) == most:
                 break
         block.make(points, shard)
 
     def _scan(self, sweep: Sweep, points: int) -> None:
         """Look through the next blocks: who waits in which group, who can't run or is left out."""
-        while points > 0 and sweep.scanned < len(sweep.order):
-            number = sweep.order[sweep.scanned]
-            sweep.scanned += 1
+        while points > 0 and sweep.scanned_count < len(sweep.scan_order):
+            number = sweep.scan_order[sweep.scanned_count]
+            sweep.scanned_count += 1
             if sweep.over_blocks >> number & 1:
                 continue
-            block = self.block(sweep, number)
+            block = self.get_block(sweep, number)
             points -= block.size
             # What has a record of its own waits no more: after a start such points were made again
             # and again, in vain, and their block never came to its end.
@@ -235,12 +235,12 @@
             block.note_complete()
             if block.bad:
                 self.touched[block.key] = block
-        if sweep.scanned == len(sweep.order):
+        if sweep.scanned_count == len(sweep.scan_order):
             self.owner.jobs_changed = True
             log.info("sweep looked through sweep=%s points=%d", sweep.id, sweep.size)
 
     def _look(self, sweep: Sweep, block: Block, k: int) -> None:
-        spec = sweep.spec(block.first + k)
+        spec = sweep.point_spec(block.first_point + k)
         if spec is None:
             block.left_out |= 1 << k
             sweep.left_out += 1
@@ -254,10 +254,10 @@
             block.bad[k] = why
             block.bad_at = self.owner.now
         elif not isinstance(spec, str):
-            group = sweep.group(spec)
+            group = sweep.group_of(spec)
             group.seen += 1
             if spec.id not in self.owner.jobs:
-                group.waiting |= 1 << (block.first + k)
+                group.waiting |= 1 << (block.first_point + k)
 
     def after_pass(self, now: float) -> None:
         """Write what the pass has decided; end blocks."""
@@ -278,7 +278,7 @@
                         self._ask_ends(sweep, block)
             if self.made and not self.stopping:
                 self._stop_orphans(now)
-        if self.stored and not self.clearing and self.owner.mirror.loaded:
+        if self.stored_blocks and not self.clearing and self.owner.mirror.loaded:
             self._clear(now)
 
     def unfinished_work(self) -> Iterable[tuple[float, str, str, float, float]]:
@@ -286,7 +286,7 @@
         for sweep in self.sweeps.values():
             for group in sweep.groups.values():
                 # What has not been looked through is taken to be like what has.
-                unseen = sweep.size - min(sweep.size, sweep.scanned * sweep.block)
+                unseen = sweep.size - min(sweep.size, sweep.scanned_count * sweep.block_size)
                 count = group.waiting.bit_count()
                 if 0 < unseen < sweep.size:
                     # Groups may be known by claimed points before anything was looked through: a
@@ -302,10 +302,10 @@
         owner = self.owner
         nodes = sorted(owner.settings.nodes)
         whose = nodes[block.number % len(nodes)]
-        if whose != owner.settings.node and MEMBER + whose in owner.mirror.items:
+        if whose != owner.settings.node and MEMBER_PREFIX + whose in owner.mirror.items:
             return
         for k in members(block.made):
-            job_id = r.point_id(sweep.id, block.first + k)
+            job_id = r.point_id(sweep.id, block.first_point + k)
             if job_id in owner.jobs or k in block.endings or job_id in self.asking:
                 continue
             if len(self.asking) >= ASKING_MOST:
@@ -314,12 +314,12 @@
 
             def done(status: int | None, body: bytes, k: int = k, job_id: str = job_id) -> None:
                 self.asking.discard(job_id)
-                pair = decode(body, wire.Pair) if status == 200 else None
+                pair = decode_answer(body, wire.Pair) if status == 200 else None
                 state = pair.value.get("state") if pair and isinstance(pair.value, dict) else None
                 if state in (DONE, CANCELLED):
                     block.ended(k, state)
 
-            owner.store.read(owner.now, OVER + job_id, done)
+            owner.store.read(owner.now, FINAL_STATE_PREFIX + job_id, done)
 
     def _stop_orphans(self, now: float) -> None:
         """Jobs of sweeps that were cancelled are cancelled one after the other, a few in a write:
@@ -331,11 +331,13 @@
         turn = sorted(owner.settings.nodes).index(owner.settings.node)
         left = left[turn :: len(owner.settings.nodes)] or left
         chosen = left[: owner.settings.params.state.txn_ops // 2]
-        conditions = [(JOB + job.id, job.stamp) for job in chosen]
-        changes: list[wire.Put | wire.Drop] = []
+        conditions = [(JOB_PREFIX + job.id, job.stamp) for job in chosen]
+        changes: list[wire.Put | wire.Delete] = []
         for job in chosen:
-            changes.append(wire.Drop(JOB + job.id))
-            changes.append(wire.Put(OVER + job.id, OverRecord(CANCELLED, job.spec.tasks)))
+            changes.append(wire.Delete(JOB_PREFIX + job.id))
+            changes.append(
+                wire.Put(FINAL_STATE_PREFIX + job.id, FinalStateRecord(CANCELLED, job.spec.tasks))
+            )
         self.stopping = True
 
         def done(result: Result) -> None:
@@ -386,31 +388,31 @@
         progress = r.ProgressRecord(
             taskset.encode(over),
             old.done + sum(b.done.bit_count() for b in ready),
-            old.failed + sum(len(b.failed) for b in ready),
+            old.failed + sum(len(b.failure_reasons) for b in ready),
             old.cancelled + sum(b.cancelled.bit_count() for b in ready),
             old.left_out + sum(b.left_out.bit_count() for b in ready),
         )
         conditions = [
-            (r.SWEEP + sweep.id, sweep.stamp),
-            (r.PROGRESS + sweep.id, sweep.progress_stamp),
+            (r.SWEEP_PREFIX + sweep.id, sweep.stamp),
+            (r.PROGRESS_PREFIX + sweep.id, sweep.progress_stamp),
             *((block.key, block.stamp) for block in ready),
         ]
-        changes: list[wire.Put | wire.Drop] = []
+        changes: list[wire.Put | wire.Delete] = []
         for block in ready:
             if block.stamp:
                 record = block.record()
                 record.claims = {}
-                changes.append(wire.Drop(block.key))
-                kept = r.block_key(r.BLOCK_OVER, sweep.id, block.number)
+                changes.append(wire.Delete(block.key))
+                kept = r.block_key(r.ENDED_BLOCK_PREFIX, sweep.id, block.number)
                 changes.append(wire.Put(kept, record))
         if last:
-            changes.append(wire.Drop(r.SWEEP + sweep.id))
+            changes.append(wire.Delete(r.SWEEP_PREFIX + sweep.id))
             if sweep.progress_stamp:
-                changes.append(wire.Drop(r.PROGRESS + sweep.id))
-            ended = r.SweepOver(DONE, sweep.record, progress)
-            changes.append(wire.Put(r.SWEEP_OVER + sweep.id, ended))
+                changes.append(wire.Delete(r.PROGRESS_PREFIX + sweep.id))
+            ended = r.EndedSweepRecord(DONE, sweep.record, progress)
+            changes.append(wire.Put(r.ENDED_SWEEP_PREFIX + sweep.id, ended))
         else:
-            changes.append(wire.Put(r.PROGRESS + sweep.id, progress))
+            changes.append(wire.Put(r.PROGRESS_PREFIX + sweep.id, progress))
         sweep.closing = True
 
         def done(result: Result) -> None:
@@ -426,19 +428,19 @@
     def _clear(self, now: float) -> None:
         """Blocks of sweeps that are cancelled move out of the watch; what they say is kept."""
         owner = self.owner
-        left = [s for s in self.stored if s not in self.sweeps]
+        left = [s for s in self.stored_blocks if s not in self.sweeps]
         if not left or not owner.leadership.provisioner_term or not owner.leadership.may_act(now):
             return
         sweep_id = left[0]
-        conditions = [(r.SWEEP + sweep_id, 0)]
-        changes: list[wire.Put | wire.Drop] = []
+        conditions = [(r.SWEEP_PREFIX + sweep_id, 0)]
+        changes: list[wire.Put | wire.Delete] = []
         most = (owner.settings.params.state.txn_ops - 2) // 2
-        for number, (record, stamp) in list(self.stored[sweep_id].items())[:most]:
-            key = r.block_key(r.BLOCK, sweep_id, number)
+        for number, (record, stamp) in list(self.stored_blocks[sweep_id].items())[:most]:
+            key = r.block_key(r.BLOCK_PREFIX, sweep_id, number)
             conditions.append((key, stamp))
-            changes.append(wire.Drop(key))
+            changes.append(wire.Delete(key))
             kept = msgspec.structs.replace(record, claims={})
-            changes.append(wire.Put(r.block_key(r.BLOCK_OVER, sweep_id, number), kept))
+            changes.append(wire.Put(r.block_key(r.ENDED_BLOCK_PREFIX, sweep_id, number), kept))
         self.clearing = True
 
         def done(result: Result) -> None:
@@ -446,26 +448,26 @@
 
         owner.commit(conditions, changes, done)
 
-    def remember(self, job_id: str, state: str) -> None:
+    def remember_final_state(self, job_id: str, state: str) -> None:
         """A point is over, durably."""
-        self.finals[job_id] = state
-        if len(self.finals) > FINALS_KEPT:
-            self.finals.popitem(last=False)
+        self.final_states[job_id] = state
+        if len(self.final_states) > FINALS_KEPT:
+            self.final_states.popitem(last=False)
 
     # -- ids and users --------------------------------------------------------------------------
 
     def submission_guard(self, job_id: str) -> SubmissionGuard | str | None:
         """A job whose id looks like a point's may be submitted as long as there is no such sweep;
         it then keeps such a sweep from beginning."""
-        point = r.point_of(job_id)
+        point = r.parse_point_id(job_id)
         if point is None:
             return None
         sweep_id, k = point
         if sweep_id in self.sweeps:
             return f"the id belongs to point {k} of sweep {sweep_id}"
         return SubmissionGuard(
-            [(r.SWEEP + sweep_id, 0), (r.SWEEP_OVER + sweep_id, 0)],
-            [wire.Put(r.TAKEN + sweep_id, {})],
+            [(r.SWEEP_PREFIX + sweep_id, 0), (r.ENDED_SWEEP_PREFIX + sweep_id, 0)],
+            [wire.Put(r.TAKEN_SWEEP_ID_PREFIX + sweep_id, {})],
         )
 
     def routes(self) -> Routes:
@@ -478,9 +480,9 @@
 
     def answer_unknown_job(self, kind: str, job_id: str, exchange: Any) -> bool:
         """A user asks for a job that the core does not know: a point?"""
-        if r.point_of(job_id) is None:
+        if r.parse_point_id(job_id) is None:
             return False
-        self.routes().point(kind, job_id, exchange)
+        self.routes().answer_point_request(kind, job_id, exchange)
         return True
 
     def handle_request(self, ask: IncomingRequest) -> bool:
@@ -488,5 +490,5 @@
         path = ask.path.partition("?")[0]
         ours = path.startswith(("/api/sweeps", "/api/templates", "/explain/"))
         if ours or (path.startswith("/api/jobs/") and path.endswith("/description")):
-            return self.routes().asked(ask)
+            return self.routes().handle_request(ask)
         return False
--- a/sagecove/sweeps/model.py
+++ b/sagecove/sweeps/model.py
@@ -11,12 +11,12 @@
 
 from sagecove.protocol.users import ARRAY, Job
 from sagecove.storage import taskset
-from sagecove.sweeps.expand import INDEX, Space, Value
+from sagecove.sweeps.parameter_space import INDEX_PARAMETER, Space, Value
 from sagecove.sweeps.records import BlockRecord, ProgressRecord, SweepRecord, point_id
-from sagecove.sweeps.template import Form, TemplateError
+from sagecove.sweeps.template import CompiledTemplate, TemplateError
 
 if TYPE_CHECKING:
-    from sagecove.sweeps.claims import Block
+    from sagecove.sweeps.blocks import Block
 
 # More groups than this are not told apart by run time and deadline.
 GROUPS_MOST = 64
@@ -29,7 +29,7 @@
     return spec.kind != ARRAY or spec.tasks != 1
 
 
-class Group:
+class PointGroup:
     """Points of one team, priority, class and size."""
 
     def __init__(self, spec: Job) -> None:
@@ -39,7 +39,7 @@
         self.heavy = heavy(spec)
         # Points that nobody has claimed, as far as is known: not jobs here yet, and jobs here.
         self.waiting = 0
-        self.open = 0
+        self.claimable = 0
         # Points seen in looking through the sweep.
         self.seen = 0
 
@@ -54,25 +54,25 @@
         self.space: Space = record.space
         self.size = self.space.count()
         self.names = self.space.names()
-        self.form = Form(record.template)
+        self.form = CompiledTemplate(record.template)
         self.only = taskset.decode(record.only) if record.only else None
-        self.block = record.block
-        self.blocks_count = -(-self.size // self.block)
-        self.every_block = taskset.full(self.blocks_count)
+        self.block_size = record.block
+        self.block_count = -(-self.size // self.block_size)
+        self.every_block = taskset.full(self.block_count)
         self.progress = ProgressRecord()
         self.progress_stamp = 0
         self.over_blocks = 0
-        self.groups: dict[GroupKey, Group] = {}
+        self.groups: dict[GroupKey, PointGroup] = {}
         self.blocks: dict[int, Block] = {}
         # Each controller begins with blocks of its own, so that they seldom reach for the same.
         turn = sorted(nodes).index(node)
         count = len(nodes)
-        self.own_blocks = range(turn, self.blocks_count, count)
-        self.order = [b for n in range(count) for b in self._stripe((turn + n) % count, count)]
+        self.own_blocks = range(turn, self.block_count, count)
+        self.scan_order = [b for n in range(count) for b in self._stripe((turn + n) % count, count)]
         self.own = 0
         for number in self.own_blocks:
             self.own |= self.mask(number)
-        self.scanned = 0
+        self.scanned_count = 0
         self.left_out = 0
         # Blocks of which all points are over: thousands are not, and are not looked at for it.
         self.complete: dict[int, Block] = {}
@@ -81,36 +81,36 @@
         self._reasons: dict[tuple[object, ...], str | None] = {}
 
     def _stripe(self, turn: int, count: int) -> range:
-        return range(turn, self.blocks_count, count)
+        return range(turn, self.block_count, count)
 
     def mask(self, number: int) -> int:
         """The points of a block, as a set of the sweep's numbers."""
-        first = number * self.block
-        return taskset.full(min(self.block, self.size - first)) << first
+        first = number * self.block_size
+        return taskset.full(min(self.block_size, self.size - first)) << first
 
     def at(self, k: int) -> float:
         """When point k counts as submitted: a moment apart, so that among equals the lower number
         comes first."""
         return self.record.at + 1e-6 * k
 
-    def values(self, k: int) -> dict[str, Value] | None:
+    def point_values(self, k: int) -> dict[str, Value] | None:
         """What point k binds; None if it is left out."""
         if self.only is not None and not self.only >> k & 1:
             return None
-        point = self.space.point(k)
+        point = self.space.point_values(k)
         if point is None:
             return None
-        point[INDEX] = k
+        point[INDEX_PARAMETER] = k
         return {**self.record.values, **point}
 
-    def spec(self, k: int) -> Job | str | None:
+    def point_spec(self, k: int) -> Job | str | None:
         """The job of point k; why it can't be one; None if it is left out."""
-        values = self.values(k)
+        values = self.point_values(k)
         if values is None:
             return None
         try:
             self.form.check_values({name: values[name] for name in self.names})
-            return self.form.fill(point_id(self.id, k), values)
+            return self.form.render(point_id(self.id, k), values)
         except TemplateError as error:
             return str(error)
 
@@ -124,7 +124,7 @@
             self._reasons[key] = judge(spec)
         return self._reasons[key]
 
-    def group(self, spec: Job) -> Group:
+    def group_of(self, spec: Job) -> PointGroup:
         """The group that a point belongs to."""
         like = (spec.team, spec.priority, spec.klass, spec.cpus, spec.gpus, spec.tasks, spec.kind)
         key: GroupKey = (*like, spec.estimate_s, spec.deadline_s)
@@ -132,7 +132,7 @@
             key = like
         found = self.groups.get(key)
         if found is None:
-            found = self.groups[key] = Group(spec)
+            found = self.groups[key] = PointGroup(spec)
         return found
 
     def forget(self, k: int) -> None:
@@ -140,21 +140,21 @@
         bit = 1 << k
         for group in self.groups.values():
             group.waiting &= ~bit
-            group.open &= ~bit
+            group.claimable &= ~bit
 
-    def next_waiting(self, group: Group) -> int | None:
+    def next_waiting(self, group: PointGroup) -> int | None:
         """The point of a group that becomes a job next: of one's own blocks first."""
         bits = group.waiting & self.own or group.waiting
         return (bits & -bits).bit_length() - 1 if bits else None
 
-    def counts(self) -> dict[str, int]:
+    def count_points(self) -> dict[str, int]:
         """Points by what became of them, as far as is known here."""
         done, failed = self.progress.done, self.progress.failed
         cancelled, claimed = self.progress.cancelled, 0
         # Those with records of their own count as claimed.
         for block in self.blocks.values():
             done += block.done.bit_count()
-            failed += len(block.failed)
+            failed += len(block.failure_reasons)
             cancelled += block.cancelled.bit_count()
             claimed += sum(bits.bit_count() for bits in block.claims.values())
             claimed += block.made.bit_count()
@@ -170,7 +170,7 @@
         }
 
 
-class Sets(NamedTuple):
+class BlockSets(NamedTuple):
     """A block record's sets; numbers count from the block's first point."""
 
     claims: dict[str, int]
@@ -180,10 +180,10 @@
     failed: dict[int, str]
 
 
-def decoded(record: BlockRecord, size: int) -> Sets:
+def decode_block(record: BlockRecord, size: int) -> BlockSets:
     """A block record's sets. Numbers beyond the block, which nobody writes, count for nothing."""
     every = taskset.full(size)
     claims = {shard: taskset.decode(text) & every for shard, text in record.claims.items()}
     failed = {int(k): why for k, why in record.failed.items() if k.isdecimal() and int(k) < size}
     sets = [taskset.decode(text) & every for text in (record.done, record.cancelled, record.made)]
-    return Sets(claims, sets[0], sets[1], sets[2], failed)
+    return BlockSets(claims, sets[0], sets[1], sets[2], failed)
--- a/sagecove/sweeps/expand.py
+++ b/sagecove/sweeps/parameter_space.py
@@ -18,14 +18,14 @@
 Value = bool | int | float | str
 
 # Names that every point has beside its axes.
-INDEX, REPETITION = "index", "repetition"
+INDEX_PARAMETER, REPETITION_PARAMETER = "index", "repetition"
 
 
 class SpaceError(ValueError):
     """A space that makes no sense: which part, and why."""
 
 
-class Listed(msgspec.Struct, tag="list", frozen=True):
+class ValueList(msgspec.Struct, tag="list", frozen=True):
     """The values as they are written."""
 
     values: list[Value]
@@ -34,7 +34,7 @@
         """How many values."""
         return len(self.values)
 
-    def at(self, k: int) -> Value:
+    def value_at(self, k: int) -> Value:
         """Value number k."""
         return self.values[k]
 
@@ -55,7 +55,7 @@
         first, last, step = (Decimal(str(v)) for v in (self.first, self.last, self.step))
         return max(0, int((last - first) / step) + 1) if (last - first) / step >= 0 else 0
 
-    def at(self, k: int) -> Value:
+    def value_at(self, k: int) -> Value:
         """Value number k, without the error that adding up would gather."""
         if isinstance(self.first, int) and isinstance(self.step, int):
             return self.first + k * self.step
@@ -78,7 +78,7 @@
             raise SpaceError("a logarithmic range runs between numbers above 0")
         return self.number
 
-    def at(self, k: int) -> Value:
+    def value_at(self, k: int) -> Value:
         """Value number k, to 12 digits; the ends are as they were written."""
         if k == 0:
             return self.first
@@ -92,7 +92,7 @@
         return float(f"{value:.12g}")
 
 
-Source = Listed | Range | Spread
+Source = ValueList | Range | Spread
 
 
 class Axis(msgspec.Struct, tag="axis", frozen=True):
@@ -111,7 +111,7 @@
 
     def fill(self, k: int, out: dict[str, Value]) -> None:
         """Bind what point k has."""
-        out[self.name] = self.source.at(k)
+        out[self.name] = self.source.value_at(k)
 
 
 class Zip(msgspec.Struct, tag="zip", frozen=True):
@@ -243,40 +243,40 @@
         """Parameters bound, in the order they were written."""
         return self.node.names()
 
-    def point(self, k: int) -> dict[str, Value] | None:
+    def point_values(self, k: int) -> dict[str, Value] | None:
         """What point k binds; None if the filter leaves it out."""
         k, repetition = divmod(k, self.repeat)
         out: dict[str, Value] = {}
         if self.sample is not None and self.sample < (raw := self.node.count()):
             k = permuted(k, raw, self.seed)
         self.node.fill(k, out)
-        out[REPETITION] = repetition
+        out[REPETITION_PARAMETER] = repetition
         if self.where is not None and not holds(self.where, out):
             return None
         return out
 
 
-def check(space: Space, most: int) -> None:
+def check_space(space: Space, max_points: int) -> None:
     """Raise `SpaceError` if the space makes no sense or has no, or over `most`, points."""
     names = space.names()
     for name in names:
         if names.count(name) > 1:
             raise SpaceError(f"{name} is bound twice")
-        if name in (INDEX, REPETITION):
+        if name in (INDEX_PARAMETER, REPETITION_PARAMETER):
             raise SpaceError(f"{name} is what every point has already: choose another name")
     if space.repeat < 1:
         raise SpaceError("repeat must be at least 1")
     if space.sample is not None and space.sample < 1:
         raise SpaceError("sample must be at least 1")
-    known = {*names, REPETITION}
+    known = {*names, REPETITION_PARAMETER}
     for name in _used(space.where) if space.where is not None else ():
         if name not in known:
             raise SpaceError(f"the filter names {name}, which is not bound")
     count = space.count()
     if count == 0:
         raise SpaceError("the space has no points")
-    if count > most:
-        raise SpaceError(f"the space has {count} points; {most} are allowed")
+    if count > max_points:
+        raise SpaceError(f"the space has {count} points; {max_points} are allowed")
 
 
 def _used(part: Condition | Operand) -> Iterator[str]:
--- a/sagecove/sweeps/records.py
+++ b/sagecove/sweeps/records.py
@@ -11,25 +11,25 @@
 
 import msgspec
 
-from sagecove.protocol.users import JOB_ID
-from sagecove.sweeps.expand import Space, Value
+from sagecove.protocol.users import JOB_ID_PATTERN
+from sagecove.sweeps.parameter_space import Space, Value
 
 # Live, watched by all controllers.
-SWEEP = "s/sweep/"
-BLOCK = "s/points/"
-PROGRESS = "s/swept/"
+SWEEP_PREFIX = "s/sweep/"
+BLOCK_PREFIX = "s/points/"
+PROGRESS_PREFIX = "s/swept/"
 # Over, read one by one.
-SWEEP_OVER = "o/sweep/"
-BLOCK_OVER = "o/points/"
+ENDED_SWEEP_PREFIX = "o/sweep/"
+ENDED_BLOCK_PREFIX = "o/points/"
 # Written beside a job whose id looks like a point's of this sweep: no such sweep may begin.
-TAKEN = "o/taken/"
+TAKEN_SWEEP_ID_PREFIX = "o/taken/"
 # Versions of templates, immutable.
-TEMPLATE = "t/"
+TEMPLATE_PREFIX = "t/"
 
 # `run-nightly.p17` is point 17 of the sweep `run-nightly`.
 POINT = re.compile(r"(run-[A-Za-z0-9_.-]{1,90})\.p(0|[1-9]\d{0,5})\Z")
 # A sweep's id: a job's, with room for a point's number.
-SWEEP_ID = re.compile(r"run-[A-Za-z0-9_.-]{1,90}\Z")
+SWEEP_ID_PATTERN = re.compile(r"run-[A-Za-z0-9_.-]{1,90}\Z")
 
 
 def point_id(sweep: str, k: int) -> str:
@@ -37,10 +37,10 @@
     return f"{sweep}.p{k}"
 
 
-def point_of(job_id: str) -> tuple[str, int] | None:
+def parse_point_id(job_id: str) -> tuple[str, int] | None:
     """Sweep and number of an id that has the form of a point's."""
     match = POINT.match(job_id)
-    return (match[1], int(match[2])) if match and JOB_ID.match(job_id) else None
+    return (match[1], int(match[2])) if match and JOB_ID_PATTERN.match(job_id) else None
 
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z_][A-Za-z0-9_]{0,39}\Z")]
@@ -111,7 +111,7 @@
     left_out: int = 0
 
 
-class SweepOver(msgspec.Struct, omit_defaults=True):
+class EndedSweepRecord(msgspec.Struct, omit_defaults=True):
     """A sweep that has ended: `done` or `aborted`."""
 
     state: str
@@ -124,12 +124,12 @@
     return f"{prefix}{sweep}/{number:06d}"
 
 
-def split_block(key: str) -> tuple[str, int]:
+def parse_block_key(key: str) -> tuple[str, int]:
     """Sweep and number of a block's key."""
-    sweep, _, number = key[len(BLOCK) :].rpartition("/")
+    sweep, _, number = key[len(BLOCK_PREFIX) :].rpartition("/")
     return sweep, int(number)
 
 
 def template_key(name: str, version: int) -> str:
     """Key of a template's version."""
-    return f"{TEMPLATE}{name}/{version:06d}"
+    return f"{TEMPLATE_PREFIX}{name}/{version:06d}"
--- a/sagecove/sweeps/routes.py
+++ b/sagecove/sweeps/routes.py
@@ -13,30 +13,38 @@
 
 from sagecove.coordination.effects import IncomingRequest
 from sagecove.protocol import state as wire
-from sagecove.protocol.users import CANCELLED, DONE, JOB_ID, PENDING, RUNNING, Refusal, Status
+from sagecove.protocol.users import (
+    CANCELLED,
+    DONE,
+    JOB_ID_PATTERN,
+    PENDING,
+    RUNNING,
+    JobStatus,
+    Refusal,
+)
 from sagecove.protocol.views import Explanation
-from sagecove.storage.records import OVER
-from sagecove.storage.store import Outcome, Result, decode
+from sagecove.storage.records import FINAL_STATE_PREFIX
+from sagecove.storage.store import Outcome, Result, decode_answer
 from sagecove.sweeps import records as r
 from sagecove.sweeps.admission import (
     JobRequest,
-    Refused,
+    RequestRefused,
     RetryRequest,
     SweepRequest,
-    admit,
-    check_id,
+    build_sweep_record,
+    check_sweep_id,
     check_template,
-    decoded,
-    inline,
-    read_sweep,
-    space_of,
+    decode_request,
+    decode_sweep_request,
+    inline_template,
+    requested_space,
 )
 from sagecove.sweeps.model import Sweep
-from sagecove.sweeps.model import decoded as decoded_block
-from sagecove.sweeps.template import Form, TemplateError
+from sagecove.sweeps.model import decode_block as decoded_block
+from sagecove.sweeps.template import CompiledTemplate, TemplateError
 
 if TYPE_CHECKING:
-    from sagecove.sweeps.decisions import Sweeps
+    from sagecove.sweeps.manager import SweepManager
 
 log = logging.getLogger("sagecove.sweeps")
 
@@ -69,7 +77,7 @@
 class Routes:
     """Answers to users."""
 
-    def __init__(self, feature: Sweeps) -> None:
+    def __init__(self, feature: SweepManager) -> None:
         self.feature = feature
         self.owner = feature.owner
         self.users = feature.owner.users
@@ -81,7 +89,7 @@
 
     # -- which path -----------------------------------------------------------------------------
 
-    def asked(self, ask: IncomingRequest) -> bool:
+    def handle_request(self, ask: IncomingRequest) -> bool:
         """Answer a request, if the path is one of ours."""
         path, _, query = ask.path.partition("?")
         parts = path.strip("/").split("/")
@@ -94,7 +102,7 @@
                 self.users.refuse_for_now(ask.exchange, "not ready")
                 return True
             handler(ask)
-        except Refused as refused:
+        except RequestRefused as refused:
             self._refuse(ask.exchange, refused)
         return True
 
@@ -121,14 +129,14 @@
             }
             handlers = named.get((*parts[:2], "*", *parts[3:]))
         if handlers is None and parts[0] == "explain" and len(parts) == 2:
-            handlers = {"GET": lambda a: self._explain(a, name)} if r.point_of(name) else None
+            handlers = {"GET": lambda a: self._explain(a, name)} if r.parse_point_id(name) else None
         if handlers is None:
             return None
         if method not in handlers:
-            raise Refused(405, f"{' or '.join(handlers)} only")
+            raise RequestRefused(405, f"{' or '.join(handlers)} only")
         return handlers[method]
 
-    def _refuse(self, exchange: Any, refused: Refused) -> None:
+    def _refuse(self, exchange: Any, refused: RequestRefused) -> None:
         log.info("refused status=%d why=%s", refused.status, refused.reason)
         self.users.reply(exchange, refused.status, Refusal(refused.reason))
 
@@ -151,18 +159,18 @@
             wanted = [t for t in found if version in (None, t.version)]
             if not wanted:
                 what = f"version {version} of template {name}" if found else f"template {name}"
-                self._refuse(exchange, Refused(404, f"there is no {what}"))
+                self._refuse(exchange, RequestRefused(404, f"there is no {what}"))
                 return
             template = wanted[-1]
             self.templates.put(r.template_key(name, template.version), template)
             self._guarded(exchange, lambda: then(template))
 
-        self._versions(f"{r.TEMPLATE}{name}/", versions)
+        self._versions(f"{r.TEMPLATE_PREFIX}{name}/", versions)
 
     def _guarded(self, exchange: Any, call: Callable[[], None]) -> None:
         try:
             call()
-        except Refused as refused:
+        except RequestRefused as refused:
             self._refuse(exchange, refused)
 
     def _versions(self, prefix: str, done: Callable[[list[r.Template] | None], None]) -> None:
@@ -170,7 +178,7 @@
         found: list[r.Template] = []
 
         def paged(status: int | None, body: bytes) -> None:
-            page = decode(body, wire.Page) if status == 200 else None
+            page = decode_answer(body, wire.Page) if status == 200 else None
             if page is None:
                 done(None)
                 return
@@ -180,11 +188,11 @@
                 except msgspec.ValidationError:
                     log.info("unreadable template key=%s", pair.key)
             if page.more and page.items:
-                self.owner.store.page(self.owner.now, prefix, page.items[-1].key, paged)
+                self.owner.store.read_page(self.owner.now, prefix, page.items[-1].key, paged)
             else:
                 done(found)
 
-        self.owner.store.page(self.owner.now, prefix, "", paged)
+        self.owner.store.read_page(self.owner.now, prefix, "", paged)
 
     def _list_templates(self, ask: IncomingRequest) -> None:
         def versions(found: list[r.Template] | None) -> None:
@@ -197,12 +205,12 @@
             ]
             self.users.reply(ask.exchange, 200, {"templates": told})
 
-        self._versions(r.TEMPLATE, versions)
+        self._versions(r.TEMPLATE_PREFIX, versions)
 
     def _show_template(self, ask: IncomingRequest, name: str, args: dict[str, str]) -> None:
         version = args.get("version")
         if version is not None and not version.isdecimal():
-            raise Refused(400, "`version` must be a whole number")
+            raise RequestRefused(400, "`version` must be a whole number")
         self._template(
             name,
             int(version) if version else None,
@@ -212,7 +220,7 @@
 
     def _put_template(self, ask: IncomingRequest) -> None:
         """A new version; the newest one again, if nothing has changed."""
-        template: r.Template = decoded(ask.body, r.Template)
+        template: r.Template = decode_request(ask.body, r.Template)
         template.version = 0
         check_template(template, self.limit)
 
@@ -240,21 +248,21 @@
 
             self.owner.commit([(key, 0)], [wire.Put(key, numbered)], done, urgent=True)
 
-        self._versions(f"{r.TEMPLATE}{template.name}/", versions)
+        self._versions(f"{r.TEMPLATE_PREFIX}{template.name}/", versions)
 
     def _from(self, ask: IncomingRequest, name: str) -> None:
         """Submit a single job of a template."""
-        request: JobRequest = decoded(ask.body, JobRequest)
-        if not JOB_ID.match(request.nameId):
-            raise Refused(400, "`nameId` has not the form of a job's id")
+        request: JobRequest = decode_request(ask.body, JobRequest)
+        if not JOB_ID_PATTERN.match(request.nameId):
+            raise RequestRefused(400, "`nameId` has not the form of a job's id")
 
         def found(template: r.Template) -> None:
-            form = Form(template)
+            form = CompiledTemplate(template)
             try:
                 form.check_values(request.values)
-                job = form.fill(request.nameId, request.values)
+                job = form.render(request.nameId, request.values)
             except TemplateError as error:
-                raise Refused(422, str(error)) from None
+                raise RequestRefused(422, str(error)) from None
             self.users.submit(msgspec.json.encode(job), ask.exchange)
 
         self._template(name, request.version, ask.exchange, found)
@@ -262,16 +270,16 @@
     # -- submitting -----------------------------------------------------------------------------
 
     def _submit(self, ask: IncomingRequest) -> None:
-        request = read_sweep(ask.body)
+        request = decode_sweep_request(ask.body)
         if not self.owner.sync.connected():
             self.users.refuse_state_unavailable(ask.exchange)
             return
         if len(self.owner.store.urgent) > 100:
             self.users.refuse_for_now(ask.exchange, "too many requests at once", 2.0)
             return
-        space = space_of(request.space, self.feature.points_most)
+        space = requested_space(request.space, self.feature.points_most)
         if request.template is None:
-            self._begin(request, inline(request, space), space, ask.exchange)
+            self._begin(request, inline_template(request, space), space, ask.exchange)
             return
         self._template(
             request.template,
@@ -285,30 +293,30 @@
     ) -> None:
         nodes = len(self.owner.settings.nodes)
         at = self.owner.wall()
-        record = admit(request, template, space, at, nodes, self.limit, only)
+        record = build_sweep_record(request, template, space, at, nodes, self.limit, only)
         taken = next((j for j in self.owner.jobs if self._is_point(j, record.id)), None)
         if taken is not None and record.id not in self.feature.sweeps:
-            raise Refused(422, self._clash(record.id, taken))
+            raise RequestRefused(422, self._clash(record.id, taken))
         # Jobs that ended before sweeps were turned on left no mark.
-        prefix = f"{OVER}{record.id}.p"
+        prefix = f"{FINAL_STATE_PREFIX}{record.id}.p"
 
         def paged(status: int | None, body: bytes) -> None:
-            page = decode(body, wire.Page) if status == 200 else None
+            page = decode_answer(body, wire.Page) if status == 200 else None
             if page is None:
                 self.users.refuse_state_unavailable(exchange)
                 return
-            names = [pair.key[len(OVER) :] for pair in page.items]
+            names = [pair.key[len(FINAL_STATE_PREFIX) :] for pair in page.items]
             clash = next((name for name in names if self._is_point(name, record.id)), None)
             if clash is not None:
-                self._refuse(exchange, Refused(422, self._clash(record.id, clash)))
+                self._refuse(exchange, RequestRefused(422, self._clash(record.id, clash)))
             else:
                 self._store(record, exchange)
 
-        self.owner.store.page(self.owner.now, prefix, "", paged)
+        self.owner.store.read_page(self.owner.now, prefix, "", paged)
 
     @staticmethod
     def _is_point(job_id: str, sweep_id: str) -> bool:
-        point = r.point_of(job_id)
+        point = r.parse_point_id(job_id)
         return point is not None and point[0] == sweep_id
 
     @staticmethod
@@ -316,7 +324,11 @@
         return f"job {job_id} has the id of a point of {sweep_id}: choose another id for the sweep"
 
     def _store(self, record: r.SweepRecord, exchange: Any) -> None:
-        keys = (r.SWEEP + record.id, r.SWEEP_OVER + record.id, r.TAKEN + record.id)
+        keys = (
+            r.SWEEP_PREFIX + record.id,
+            r.ENDED_SWEEP_PREFIX + record.id,
+            r.TAKEN_SWEEP_ID_PREFIX + record.id,
+        )
 
         def done(result: Result) -> None:
             if result.outcome is Outcome.DONE:
@@ -327,7 +339,7 @@
             elif result.outcome is not Outcome.CONFLICT:
                 self.users.refuse_state_unavailable(exchange)
             elif keys[2] in result.failed:
-                clash = Refused(422, self._clash(record.id, f"{record.id}.p..."))
+                clash = RequestRefused(422, self._clash(record.id, f"{record.id}.p..."))
                 self._refuse(exchange, clash)
             else:
                 # Known already: a submission twice with the same id is one.
@@ -339,27 +351,27 @@
 
     def _preview(self, ask: IncomingRequest) -> None:
         """What a submission would expand into; nothing is written."""
-        request = read_sweep(ask.body)
-        space = space_of(request.space, self.feature.points_most)
+        request = decode_sweep_request(ask.body)
+        space = requested_space(request.space, self.feature.points_most)
 
         def found(template: r.Template) -> None:
             nodes = self.owner.settings.nodes
-            record = admit(request, template, space, 0.0, len(nodes), self.limit)
+            record = build_sweep_record(request, template, space, 0.0, len(nodes), self.limit)
             sweep = Sweep(record, 0, nodes[0], nodes)
             told = []
             for k in range(min(sweep.size, 20 * PREVIEWED)):
-                spec = sweep.spec(k)
+                spec = sweep.point_spec(k)
                 if spec is None:
                     continue
                 why = spec if isinstance(spec, str) else self.users.impossible_reason(spec)
-                point = {"point": k, "values": sweep.values(k)}
+                point = {"point": k, "values": sweep.point_values(k)}
                 told.append({**point, "failed": why} if why else {**point, "job": spec})
                 if len(told) == PREVIEWED:
                     break
             self.users.reply(ask.exchange, 200, {"points": sweep.size, "first": told})
 
         if request.template is None:
-            found(inline(request, space))
+            found(inline_template(request, space))
         else:
             self._template(request.template, request.version, ask.exchange, found)
 
@@ -372,18 +384,18 @@
     def _view(self, sweep: Sweep) -> dict[str, Any]:
         running = self._running(sweep)
         failures = sorted(
-            (block.first + k, why)
+            (block.first_point + k, why)
             for block in sweep.blocks.values()
-            for k, why in block.failed.items()
+            for k, why in block.failure_reasons.items()
         )
         return {
             "id": sweep.id,
             "state": RUNNING if running else PENDING,
             "template": sweep.record.template.name,
             "version": sweep.record.template.version,
-            **sweep.counts(),
+            **sweep.count_points(),
             "running": running,
-            "looked_through": sweep.scanned == len(sweep.order),
+            "looked_through": sweep.scanned_count == len(sweep.scan_order),
             "failures": [{"point": k, "why": why} for k, why in failures[:20]],
             "reasons": _reasons(failures),
         }
@@ -416,7 +428,7 @@
             self.users.reply(exchange, 200, self._view(sweep))
             return
 
-        def ended(over: r.SweepOver) -> None:
+        def ended(over: r.EndedSweepRecord) -> None:
             progress, record = over.progress, over.record
             points = record.space.count()
             other = points - progress.done - progress.failed - progress.left_out
@@ -445,7 +457,7 @@
         self,
         sweep_id: str,
         exchange: Any,
-        then: Callable[[r.SweepOver], None],
+        then: Callable[[r.EndedSweepRecord], None],
         missing: Callable[[], None] | None = None,
     ) -> None:
         """Find a sweep that is over; 404, or `missing`, if there is none."""
@@ -455,10 +467,10 @@
             return
 
         def done(status: int | None, body: bytes) -> None:
-            pair = decode(body, wire.Pair) if status == 200 else None
+            pair = decode_answer(body, wire.Pair) if status == 200 else None
             if pair is not None:
                 try:
-                    over = msgspec.convert(pair.value, r.SweepOver)
+                    over = msgspec.convert(pair.value, r.EndedSweepRecord)
                 except msgspec.ValidationError:
                     status = None
                 else:
@@ -472,12 +484,12 @@
             elif missing is not None:
                 missing()
             else:
-                self._refuse(exchange, Refused(404, f"there is no sweep {sweep_id}"))
+                self._refuse(exchange, RequestRefused(404, f"there is no sweep {sweep_id}"))
 
-        if not r.SWEEP_ID.match(sweep_id):
-            self._refuse(exchange, Refused(404, f"there is no sweep {sweep_id}"))
+        if not r.SWEEP_ID_PATTERN.match(sweep_id):
+            self._refuse(exchange, RequestRefused(404, f"there is no sweep {sweep_id}"))
             return
-        self.owner.store.read(self.owner.now, r.SWEEP_OVER + sweep_id, done)
+        self.owner.store.read(self.owner.now, r.ENDED_SWEEP_PREFIX + sweep_id, done)
 
     def _cancel(self, ask: IncomingRequest, sweep_id: str) -> None:
         """Cancel all of a sweep that is not over: its record goes, and with it every point."""
@@ -496,7 +508,7 @@
     def _write_cancel(self, sweep: Sweep, ask: IncomingRequest) -> None:
         owner = self.owner
         # Counts are as of now; what each point came to stays with its block.
-        counts = sweep.counts()
+        counts = sweep.count_points()
         progress = r.ProgressRecord(
             sweep.progress.over,
             counts["done"],
@@ -504,19 +516,19 @@
             counts["cancelled"],
             counts["left_out"],
         )
-        over = r.SweepOver(CANCELLED, sweep.record, progress)
-        key = r.SWEEP + sweep.id
+        over = r.EndedSweepRecord(CANCELLED, sweep.record, progress)
+        key = r.SWEEP_PREFIX + sweep.id
         conditions = [
             (key, sweep.stamp),
-            (r.PROGRESS + sweep.id, sweep.progress_stamp),
-            (r.SWEEP_OVER + sweep.id, 0),
+            (r.PROGRESS_PREFIX + sweep.id, sweep.progress_stamp),
+            (r.ENDED_SWEEP_PREFIX + sweep.id, 0),
         ]
-        changes: list[wire.Put | wire.Drop] = [
-            wire.Drop(key),
-            wire.Put(r.SWEEP_OVER + sweep.id, over),
+        changes: list[wire.Put | wire.Delete] = [
+            wire.Delete(key),
+            wire.Put(r.ENDED_SWEEP_PREFIX + sweep.id, over),
         ]
         if sweep.progress_stamp:
-            changes.append(wire.Drop(r.PROGRESS + sweep.id))
+            changes.append(wire.Delete(r.PROGRESS_PREFIX + sweep.id))
         running = [
             j.id for j in owner.jobs.values() if getattr(j.durable_state, "sweep", None) is sweep
         ]
@@ -545,11 +557,11 @@
         then: Callable[[r.BlockRecord], None],
     ) -> None:
         """A block's record as it stands, wherever it is; an empty one if there is none."""
-        stored = self.feature.stored.get(sweep_id, {}).get(number)
+        stored = self.feature.stored_blocks.get(sweep_id, {}).get(number)
         if stored is not None:
             then(stored[0])
             return
-        key = r.block_key(r.BLOCK_OVER, sweep_id, number)
+        key = r.block_key(r.ENDED_BLOCK_PREFIX, sweep_id, number)
         kept = self.ended_blocks.get(key)
         if kept is not None:
             then(kept)
@@ -559,7 +571,7 @@
             record = None
             if status == 404:
                 record = r.BlockRecord()
-            elif status == 200 and (pair := decode(body, wire.Pair)) is not None:
+            elif status == 200 and (pair := decode_answer(body, wire.Pair)) is not None:
                 try:
                     record = msgspec.convert(pair.value, r.BlockRecord)
                 except msgspec.ValidationError:
@@ -574,13 +586,13 @@
 
         self.owner.store.read(self.owner.now, key, done)
 
-    def point(self, kind: str, job_id: str, exchange: Any) -> None:
+    def answer_point_request(self, kind: str, job_id: str, exchange: Any) -> None:
         """A user asks for a job of a point's id that is no job here; a read has been done."""
-        found = r.point_of(job_id)
+        found = r.parse_point_id(job_id)
         assert found is not None
         sweep_id, k = found
         sweep = self.feature.sweeps.get(sweep_id)
-        final = self.feature.finals.get(job_id)
+        final = self.feature.final_states.get(job_id)
         if final is not None and kind in ("status", "cancel"):
             self._final(kind, job_id, final, exchange)
         elif sweep is not None:
@@ -597,54 +609,54 @@
         if state == CANCELLED:
             # By what the mirror has, or by what was read and noted then.
             self.owner.cancellations.raise_floor(self.owner.mirror.applied)
-        known = Status(job_id, state, 1 if state == DONE else 0, 0)
-        self.users.reply(exchange, 200, known if kind == "status" else Status(job_id, state))
+        known = JobStatus(job_id, state, 1 if state == DONE else 0, 0)
+        self.users.reply(exchange, 200, known if kind == "status" else JobStatus(job_id, state))
 
-    def _as_sweep(self, over: r.SweepOver) -> Sweep:
+    def _as_sweep(self, over: r.EndedSweepRecord) -> Sweep:
         nodes = self.owner.settings.nodes
         return Sweep(over.record, 0, nodes[0], nodes)
 
     def _tell_point(
-        self, kind: str, sweep: Sweep, k: int, over: r.SweepOver | None, exchange: Any
+        self, kind: str, sweep: Sweep, k: int, over: r.EndedSweepRecord | None, exchange: Any
     ) -> None:
         users = self.users
         if kind == "submit" or kind.startswith("refuse:"):
             why = f"the id belongs to point {k} of sweep {sweep.id}"
-            self._refuse(exchange, Refused(422, why))
+            self._refuse(exchange, RequestRefused(422, why))
             return
         if k >= sweep.size:
-            self._refuse(exchange, Refused(404, f"sweep {sweep.id} has {sweep.size} points"))
+            self._refuse(exchange, RequestRefused(404, f"sweep {sweep.id} has {sweep.size} points"))
             return
         job_id = r.point_id(sweep.id, k)
-        number, offset = divmod(k, sweep.block)
+        number, offset = divmod(k, sweep.block_size)
 
         def tell(record: r.BlockRecord) -> None:
             state, why = _state(sweep, k, offset, record, over)
             if state in (DONE, CANCELLED):
-                self.feature.remember(job_id, state)
+                self.feature.remember_final_state(job_id, state)
                 self._final(kind, job_id, state, exchange)
             elif state == MADE:
                 # It has a record of its own, which says how it ended.
                 users.read_final_state(kind, job_id, exchange)
             elif state != PENDING:
                 # Never accepted as a job: it has no state.
-                self._refuse(exchange, Refused(404, f"point {k} of sweep {sweep.id}: {why}"))
+                self._refuse(exchange, RequestRefused(404, f"point {k} of sweep {sweep.id}: {why}"))
             elif kind == "cancel":
-                self.feature.block(sweep, number).cancel_point(offset, exchange)
+                self.feature.get_block(sweep, number).cancel_point(offset, exchange)
             else:
-                users.reply(exchange, 200, Status(job_id, PENDING, 0, 0))
+                users.reply(exchange, 200, JobStatus(job_id, PENDING, 0, 0))
 
         self._block(sweep.id, number, exchange, tell)
 
     def _describe(self, ask: IncomingRequest, job_id: str) -> None:
         """A job's description, as its user would have uploaded it: for workers."""
         job = self.owner.jobs.get(job_id)
-        point = r.point_of(job_id)
+        point = r.parse_point_id(job_id)
         if job is not None:
             self.users.reply(ask.exchange, 200, job.spec)
             return
         if point is None:
-            raise Refused(404, "no job under way has this id")
+            raise RequestRefused(404, "no job under way has this id")
         sweep = self.feature.sweeps.get(point[0])
         if sweep is not None:
             self._describe_point(sweep, point[1], ask)
@@ -656,25 +668,25 @@
             )
 
     def _describe_point(self, sweep: Sweep, k: int, ask: IncomingRequest) -> None:
-        spec = sweep.spec(k) if k < sweep.size else None
+        spec = sweep.point_spec(k) if k < sweep.size else None
         if spec is None or isinstance(spec, str):
             why = spec or f"sweep {sweep.id} has no point {k}"
-            self._refuse(ask.exchange, Refused(404, why))
+            self._refuse(ask.exchange, RequestRefused(404, why))
         else:
             self.users.reply(ask.exchange, 200, spec)
 
     def _explain(self, ask: IncomingRequest, job_id: str) -> None:
         """Why a point waits that is no job yet."""
-        point = r.point_of(job_id)
+        point = r.parse_point_id(job_id)
         assert point is not None
         sweep = self.feature.sweeps.get(point[0])
         if sweep is None or point[1] >= sweep.size:
-            raise Refused(404, "no job under way has this id; ask for its status")
-        spec = sweep.spec(point[1])
+            raise RequestRefused(404, "no job under way has this id; ask for its status")
+        spec = sweep.point_spec(point[1])
         if spec is None or isinstance(spec, str):
-            raise Refused(404, f"point {point[1]} can't run: {spec or 'it is left out'}")
-        group = sweep.group(spec)
-        ahead = group.open.bit_count() + (group.waiting & ((1 << point[1]) - 1)).bit_count()
+            raise RequestRefused(404, f"point {point[1]} can't run: {spec or 'it is left out'}")
+        group = sweep.group_of(spec)
+        ahead = group.claimable.bit_count() + (group.waiting & ((1 << point[1]) - 1)).bit_count()
         told = Explanation(
             job_id,
             *(spec.team, spec.kind, spec.priority),
@@ -692,9 +704,11 @@
         try:
             first, most = int(args.get("from", "0")), int(args.get("most", "100"))
         except ValueError:
-            raise Refused(400, "`from` and `most` must be whole numbers") from None
+            raise RequestRefused(400, "`from` and `most` must be whole numbers") from None
         if first < 0 or not 1 <= most <= POINTS_MOST:
-            raise Refused(400, f"`from` must be at least 0 and `most` from 1 to {POINTS_MOST}")
+            raise RequestRefused(
+                400, f"`from` must be at least 0 and `most` from 1 to {POINTS_MOST}"
+            )
         wanted = args.get("state")
 
         def read(good: bool) -> None:
@@ -718,7 +732,7 @@
     def _list_points(
         self,
         sweep: Sweep,
-        over: r.SweepOver | None,
+        over: r.EndedSweepRecord | None,
         first: int,
         most: int,
         wanted: str | None,
@@ -728,16 +742,16 @@
 
         def block(number: int) -> None:
             # A bounded stretch at a time: the asker goes on from `next`.
-            if number >= sweep.blocks_count or number >= first // sweep.block + 32:
-                end = number * sweep.block
+            if number >= sweep.block_count or number >= first // sweep.block_size + 32:
+                end = number * sweep.block_size
                 more = end if end < sweep.size else None
                 self.users.reply(ask.exchange, 200, {"points": told, "next": more})
                 return
             self._block(sweep.id, number, ask.exchange, lambda record: fill(number, record))
 
         def fill(number: int, record: r.BlockRecord) -> None:
-            begin = number * sweep.block
-            for k in range(max(first, begin), min(begin + sweep.block, sweep.size)):
+            begin = number * sweep.block_size
+            for k in range(max(first, begin), min(begin + sweep.block_size, sweep.size)):
                 state, why = _state(sweep, k, k - begin, record, over)
                 job = self.owner.jobs.get(r.point_id(sweep.id, k))
                 if job is not None and any(p.state == "running" for p in job.placed.values()):
@@ -750,15 +764,17 @@
                     self.users.reply(ask.exchange, 200, {"points": told, "next": k})
                     return
                 entry = {"point": k, "job": r.point_id(sweep.id, k), "state": state}
-                told.append({**entry, "values": sweep.values(k), **({"why": why} if why else {})})
+                told.append(
+                    {**entry, "values": sweep.point_values(k), **({"why": why} if why else {})}
+                )
             block(number + 1)
 
-        block(first // sweep.block)
+        block(first // sweep.block_size)
 
     def _retry(self, ask: IncomingRequest, sweep_id: str) -> None:
         """A new sweep of the points that failed, or were cancelled, in another."""
-        request: RetryRequest = decoded(ask.body, RetryRequest)
-        check_id(request.id)
+        request: RetryRequest = decode_request(ask.body, RetryRequest)
+        check_sweep_id(request.id)
 
         def read(good: bool) -> None:
             sweep = self.feature.sweeps.get(sweep_id)
@@ -776,18 +792,22 @@
         self.users.call_after_read(read)
 
     def _collect(
-        self, sweep: Sweep, over: r.SweepOver | None, request: RetryRequest, ask: IncomingRequest
+        self,
+        sweep: Sweep,
+        over: r.EndedSweepRecord | None,
+        request: RetryRequest,
+        ask: IncomingRequest,
     ) -> None:
         """Read the blocks one after the other, and begin a sweep of what is found."""
         found = 0
 
         def block(number: int) -> None:
-            if number < sweep.blocks_count:
+            if number < sweep.block_count:
                 self._block(sweep.id, number, ask.exchange, lambda record: take(number, record))
                 return
             if not found:
                 states = " or ".join(request.states)
-                refused = Refused(422, f"no point of sweep {sweep.id} is {states}")
+                refused = RequestRefused(422, f"no point of sweep {sweep.id} is {states}")
                 self._refuse(ask.exchange, refused)
                 return
             record = sweep.record
@@ -799,8 +819,8 @@
 
         def take(number: int, record: r.BlockRecord) -> None:
             nonlocal found
-            begin = number * sweep.block
-            for k in range(begin, min(begin + sweep.block, sweep.size)):
+            begin = number * sweep.block_size
+            for k in range(begin, min(begin + sweep.block_size, sweep.size)):
                 state, _ = _state(sweep, k, k - begin, record, over)
                 told = "cancelled" if state == CANCELLED else state
                 if told in request.states:
@@ -811,10 +831,10 @@
 
 
 def _state(
-    sweep: Sweep, k: int, offset: int, record: r.BlockRecord, over: r.SweepOver | None
+    sweep: Sweep, k: int, offset: int, record: r.BlockRecord, over: r.EndedSweepRecord | None
 ) -> tuple[str, str]:
     """A point's state by its block's record, and why: `left_out` and `failed` beside a job's."""
-    sets = decoded_block(record, sweep.block)
+    sets = decoded_block(record, sweep.block_size)
     if sets.done >> offset & 1:
         return DONE, ""
     if sets.cancelled >> offset & 1:
@@ -823,7 +843,7 @@
         return "failed", sets.failed[offset]
     if sets.made >> offset & 1:
         return MADE, ""
-    if sweep.values(k) is None:
+    if sweep.point_values(k) is None:
         return "left_out", "the filter leaves it out"
     if over is not None and over.state == CANCELLED:
         return CANCELLED, ""
--- a/sagecove/sweeps/template.py
+++ b/sagecove/sweeps/template.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from sagecove.protocol.users import Job
-from sagecove.sweeps.expand import INDEX, REPETITION, Value
+from sagecove.sweeps.parameter_space import INDEX_PARAMETER, REPETITION_PARAMETER, Value
 from sagecove.sweeps.records import Parameter, Template
 
 REFERENCE = re.compile(r"\$\{([A-Za-z_][A-Za-z0-9_]*)\}")
@@ -79,7 +79,7 @@
             yield from _references(part)
 
 
-class Form:
+class CompiledTemplate:
     """A template made ready for filling many times."""
 
     def __init__(self, template: Template) -> None:
@@ -104,17 +104,17 @@
         # Parameters that only some teams may set.
         self.guarded = [p for p in template.parameters if p.set_by is not None]
 
-    def used(self) -> set[str]:
+    def referenced_names(self) -> set[str]:
         """Parameters that the job's fields name."""
         return {name for value in self.template.job.values() for name in _references(value)}
 
-    def check(self) -> None:
+    def check_template(self) -> None:
         """Raise `TemplateError` if the template makes no sense by itself."""
         names = [p.name for p in self.template.parameters]
         for name in names:
             if names.count(name) > 1:
                 raise TemplateError(f"parameter {name} is there twice")
-            if name in (INDEX, REPETITION):
+            if name in (INDEX_PARAMETER, REPETITION_PARAMETER):
                 raise TemplateError(f"parameter {name}: every point has that already")
         for parameter in self.template.parameters:
             if parameter.default is not None and not fits(parameter, parameter.default):
@@ -131,7 +131,9 @@
                 raise TemplateError(f"job: {ID} is not the template's to give")
             if field not in FIELDS:
                 raise TemplateError(f"job: there is no field {field}")
-        for name in sorted(self.used() - set(names) - {INDEX, REPETITION}):
+        for name in sorted(
+            self.referenced_names() - set(names) - {INDEX_PARAMETER, REPETITION_PARAMETER}
+        ):
             raise TemplateError(f"job: ${{{name}}} is no parameter")
 
     def check_values(self, values: dict[str, Any]) -> None:
@@ -148,7 +150,7 @@
                     f" {allowed_text(parameter)}"
                 )
 
-    def fill(self, job_id: str, values: dict[str, Value]) -> Job:
+    def render(self, job_id: str, values: dict[str, Value]) -> Job:
         """The job with these values; `values` may hold `index` and `repetition` too.
 
         `TemplateError` says which value is missing or does not fit the job's field."""
--- a/sagecove/transport/client.py
+++ b/sagecove/transport/client.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.web import http
 
-Done = Callable[[int | None, bytes], None]
+ResponseCallback = Callable[[int | None, bytes], None]
 
 # A timer that fires so much late says that this process was not running.
 LATE_S = 0.5
@@ -19,9 +19,9 @@
 class _Call:
     __slots__ = ("data", "done", "due", "retried", "spared", "started", "timer")
 
-    def __init__(self, data: bytes, done: Done) -> None:
+    def __init__(self, data: bytes, done: ResponseCallback) -> None:
         self.data = data
-        self.done: Done | None = done
+        self.done: ResponseCallback | None = done
         self.timer: Any = None
         self.due = 0.0
         self.spared = False
@@ -124,26 +124,32 @@
     """Requests to one host."""
 
     def __init__(
-        self, reactor: Any, host: str, port: int, most: int, connect_s: float, queue: int = 256
+        self,
+        reactor: Any,
+        host: str,
+        port: int,
+        max_connections: int,
+        connect_s: float,
+        max_queued: int = 256,
     ) -> None:
         self.reactor = reactor
         self.host = host
         self.port = port
-        self.most = most
+        self.max_connections = max_connections
         self.connect_s = connect_s
-        self.queue_most = queue
+        self.max_queued = max_queued
         self.queue: deque[_Call] = deque()
         self.idle: list[_Wire] = []
         self.busy: set[_Wire] = set()
         self.opening = 0
         self.head = b"Host: %s:%d\r\n" % (host.encode(), port)
-        self.used = 0.0
+        self.last_used_at = 0.0
 
     def request(
-        self, method: bytes, path: str, body: bytes | None, timeout: float, done: Done
+        self, method: bytes, path: str, body: bytes | None, timeout: float, done: ResponseCallback
     ) -> None:
         """Send a request; `done(status, body)` is called exactly once, never from in here."""
-        self.used = self.reactor.seconds()
+        self.last_used_at = self.reactor.seconds()
         head = b"%s %s HTTP/1.1\r\n%s" % (method, path.encode(), self.head)
         if body is None:
             data = head + b"\r\n"
@@ -153,10 +159,10 @@
                 % (len(body), body)
             )
         call = _Call(data, done)
-        if len(self.queue) >= self.queue_most:
+        if len(self.queue) >= self.max_queued:
             self.reactor.callLater(0, call.finish, None, b"")
             return
-        call.due = self.used + timeout
+        call.due = self.last_used_at + timeout
         call.timer = self.reactor.callLater(timeout, self._expired, call)
         self.queue.append(call)
         self._pump()
@@ -173,7 +179,10 @@
             self.busy.add(wire)
             wire.send(call)
         waiting = len(self.queue)
-        if waiting > self.opening and len(self.busy) + len(self.idle) + self.opening < self.most:
+        if (
+            waiting > self.opening
+            and len(self.busy) + len(self.idle) + self.opening < self.max_connections
+        ):
             self.opening += 1
             self.reactor.connectTCP(self.host, self.port, _Factory(self), timeout=self.connect_s)
 
--- a/sagecove/transport/server.py
+++ b/sagecove/transport/server.py
@@ -89,18 +89,18 @@
         self,
         handler: Callable[[str, str, bytes, Exchange], None],
         reactor: Any,
-        most: int,
-        pace: float = 3.0,
+        max_connections: int,
+        report_s: float = 3.0,
     ) -> None:
         self.handler = handler
         self.reactor = reactor
-        self.most = most
-        self.head_s = HEAD_PACES * pace
-        self.body_s = BODY_PACES * pace
-        self.idle_s = IDLE_PACES * pace
-        self.open = 0
+        self.max_connections = max_connections
+        self.head_s = HEAD_PACES * report_s
+        self.body_s = BODY_PACES * report_s
+        self.idle_s = IDLE_PACES * report_s
+        self.open_count = 0
         # Connections whose next request is not complete, and such that wait for one; oldest first.
-        self.half: dict[_Channel, None] = {}
+        self.incomplete: dict[_Channel, None] = {}
         self.idle: dict[_Channel, None] = {}
         self.turned_away: Counter[str] = Counter()
         self.told_at = 0.0
@@ -125,31 +125,31 @@
         late = now - self.look_at
         if late > LOOK_S / 2:
             # This process stood still: what came meanwhile has not been read yet.
-            for channel in (*self.half, *self.idle):
+            for channel in (*self.incomplete, *self.idle):
                 channel.due += late
         self._look_later()
-        for channel in [c for c in self.half if now > c.due]:
+        for channel in [c for c in self.incomplete if now > c.due]:
             self.turn_away(channel, "slow")
         for channel in [c for c in self.idle if now > c.due]:
             channel.transport.loseConnection()
         if self.turned_away and now - self.told_at > TOLD_S:
             self.told_at = now
             told = " ".join(f"{why}={count}" for why, count in sorted(self.turned_away.items()))
-            log.info("connections turned away open=%d %s", self.open, told)
+            log.info("connections turned away open=%d %s", self.open_count, told)
             self.turned_away.clear()
 
     def turn_away(self, channel: "_Channel", why: str) -> None:
         """End a connection at once."""
         self.turned_away[why] += 1
-        self.half.pop(channel, None)
+        self.incomplete.pop(channel, None)
         self.idle.pop(channel, None)
         channel.transport.abortConnection()
 
     def _make_room(self) -> bool:
         """Out of sockets: the oldest connection without a whole request makes room; else, of the
         address that has most, the one that has been idle for longest."""
-        if self.half:
-            self.turn_away(next(iter(self.half)), "evicted")
+        if self.incomplete:
+            self.turn_away(next(iter(self.incomplete)), "evicted")
             return True
         if self.idle:
             counts = Counter(channel.peer for channel in self.idle)
@@ -162,7 +162,7 @@
 
     def buildProtocol(self, addr: Any) -> Any:
         """A channel for a new connection, or none when the process is out of sockets."""
-        if self.open >= self.most and not self._make_room():
+        if self.open_count >= self.max_connections and not self._make_room():
             return None
         channel = _Channel()
         channel.requestFactory = Exchange
@@ -173,7 +173,7 @@
         channel.timeOut = None
         channel.peer = getattr(addr, "host", "")
         channel.begin()
-        self.open += 1
+        self.open_count += 1
         return channel
 
     def log(self, request: Any) -> None:
@@ -193,7 +193,7 @@
         """A request may be on its way from now on."""
         server = self.factory
         self.due = server.reactor.seconds() + server.head_s
-        server.half[self] = None
+        server.incomplete[self] = None
 
     def dataReceived(self, data: bytes) -> None:
         if self.refused:
@@ -211,7 +211,7 @@
     def allContentReceived(self) -> None:
         if self.refused:
             return
-        self.factory.half.pop(self, None)
+        self.factory.incomplete.pop(self, None)
         self.factory.idle.pop(self, None)
         super().allContentReceived()
 
@@ -243,7 +243,7 @@
             self.refuse(b"431 Request Header Fields Too Large", b"the headers are too long")
 
     def connectionLost(self, reason: Any) -> None:
-        self.factory.open -= 1
-        self.factory.half.pop(self, None)
+        self.factory.open_count -= 1
+        self.factory.incomplete.pop(self, None)
         self.factory.idle.pop(self, None)
         super().connectionLost(reason)
--- a/tests/test_at_limits.py
+++ b/tests/test_at_limits.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from sagecove.lab.deployment import LEASE_S, REPORT_S, job
-from sagecove.lab.models import FakeWorker
+from sagecove.lab.deployment import LEASE_S, REPORT_S, job_submission
+from sagecove.lab.fakes import FakeWorker
 from sagecove.lab.world import World
 from tests.test_meetings import mine, others
 from tests.test_refused_leader import node_with_most_tasks
@@ -20,48 +20,50 @@
 
 def full(nodes: int) -> World:
     """Each team has a service that takes all of its limit, on machines with room for more."""
-    w = World(nodes=nodes, teams=TEAMS)
+    w = World(node_count=nodes, teams=TEAMS)
     w.cloud.capacity = {"small": 18, "gpu": 0}
     for i in range(18):
-        w.cloud.start("small", "ab"[i % 2], False)
+        w.cloud.start_machine("small", "ab"[i % 2], False)
     w.run(3)
     for worker in w.workers.values():
-        worker.run_s = 500.0
+        worker.task_run_s = 500.0
     for n, team in enumerate(DOOMED, 1):
-        spec = job(n, outfit=team, shape="service", hands=12, vcpus=1.0, memoryGb=1.0)
+        spec = job_submission(n, outfit=team, shape="service", hands=12, vcpus=1.0, memoryGb=1.0)
         w.submit("n0", spec)
-    w.until(lambda: all(w.running(name) == 12 for name in DOOMED.values()), 90)
+    w.run_until(lambda: all(w.running_task_count(name) == 12 for name in DOOMED.values()), 90)
     w.run(3)
-    w.poll_all()
+    w.poll_jobs()
     return w
 
 
 def ends(w: World, lead: str) -> None:
-    w.kill(lead)
+    w.kill_node(lead)
 
 
 def stands_still(w: World, lead: str) -> None:
-    w.still[lead] = w.now + 1.5 * LEASE_S
+    w.paused_until[lead] = w.now + 1.5 * LEASE_S
 
 
 def is_alone(w: World, lead: str) -> None:
-    w.alone(lead, True)
+    w.isolate_node(lead, True)
 
 
 def restarts(w: World, lead: str) -> None:
-    w.kill(lead)
-    w.later(0.5, lambda: w.boot_node(int(lead[1:])))
+    w.kill_node(lead)
+    w.call_later(0.5, lambda: w.start_node(int(lead[1:])))
 
 
 def out_of_reach(w: World, worker: FakeWorker, how: str, away: bool) -> None:
     if how == "deaf":
-        (w.unreached.add if away else w.unreached.discard)(worker.name)
+        (w.receive_blocked_machines.add if away else w.receive_blocked_machines.discard)(
+            worker.name
+        )
     elif how == "mute":
-        (w.mute.add if away else w.mute.discard)(worker.name)
+        (w.send_blocked_machines.add if away else w.send_blocked_machines.discard)(worker.name)
     elif away:
-        worker.cut = worker.cut_direct = True
+        worker.isolated = worker.direct_commands_blocked = True
     else:
-        worker.go_on()
+        worker.reconnect()
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
@@ -83,24 +85,29 @@
         change(w, lead)
     asked = others(w, lead)[0]
     for name in DOOMED.values():
-        w.until(lambda name=name: w.user(asked, "POST", f"/api/jobs/{name}/cancel")[0] == 200, 30)
+        w.run_until(
+            lambda name=name: w.user_request(asked, "POST", f"/api/jobs/{name}/cancel")[0] == 200,
+            30,
+        )
     if not before:
         change(w, lead)
     confirmed = w.now
     # As many again, at once: each team may begin as much of it as has surely ended.
     for n, team in enumerate(DOOMED, 11):
-        spec = job(n, outfit=team, hands=12, vcpus=1.0, memoryGb=1.0, reckonS=900.0)
+        spec = job_submission(n, outfit=team, hands=12, vcpus=1.0, memoryGb=1.0, reckonS=900.0)
         w.submit(asked, spec)
     w.run(away_s)
     for worker in far:
         out_of_reach(w, worker, how, False)
     w.cut_links.clear()
-    w.state.refused.clear()
+    w.state.refused_nodes.clear()
     if lead not in w.owners:
-        w.boot_node(int(lead[1:]))
-    w.calm_at = w.now
-    w.until(lambda: all(w.running(f"run-{n:06d}") == 12 for n in (11, 12, 13)), 6 * LEASE_S)
-    assert all(w.running(name) == 0 for name in DOOMED.values())
+        w.start_node(int(lead[1:]))
+    w.faults_over_at = w.now
+    w.run_until(
+        lambda: all(w.running_task_count(f"run-{n:06d}") == 12 for n in (11, 12, 13)), 6 * LEASE_S
+    )
+    assert all(w.running_task_count(name) == 0 for name in DOOMED.values())
     assert w.now - confirmed < away_s + 4 * LEASE_S + 4 * REPORT_S
 
 
@@ -115,13 +122,16 @@
     lead = node_with_most_tasks(w, DOOMED["red"])
     # The others let it begin what their teams' limits leave.
     far = [worker for worker in mine(w, lead) if worker.tasks][:many]
-    w.kill(lead)
+    w.kill_node(lead)
     asked = sorted(w.owners)[0]
     for name in DOOMED.values():
-        w.until(lambda name=name: w.user(asked, "POST", f"/api/jobs/{name}/cancel")[0] == 200, 30)
-    w.until(lambda: any(lead in o.shards.active_shards(w.now) for o in w.owners.values()), 30)
+        w.run_until(
+            lambda name=name: w.user_request(asked, "POST", f"/api/jobs/{name}/cancel")[0] == 200,
+            30,
+        )
+    w.run_until(lambda: any(lead in o.shards.active_shards(w.now) for o in w.owners.values()), 30)
     for n, team in enumerate(DOOMED, 11):
-        spec = job(n, outfit=team, hands=12, vcpus=1.0, memoryGb=1.0, reckonS=900.0)
+        spec = job_submission(n, outfit=team, hands=12, vcpus=1.0, memoryGb=1.0, reckonS=900.0)
         w.submit(asked, spec)
     w.run(after)
     for worker in far:
@@ -129,6 +139,8 @@
     w.run(2 * LEASE_S)
     for worker in far:
         out_of_reach(w, worker, "deaf", False)
-    w.boot_node(int(lead[1:]))
-    w.calm_at = w.now
-    w.until(lambda: all(w.running(f"run-{n:06d}") == 12 for n in (11, 12, 13)), 4 * LEASE_S)
+    w.start_node(int(lead[1:]))
+    w.faults_over_at = w.now
+    w.run_until(
+        lambda: all(w.running_task_count(f"run-{n:06d}") == 12 for n in (11, 12, 13)), 4 * LEASE_S
+    )
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -10,19 +10,19 @@
 
 from sagecove.coordination import backlog
 from sagecove.coordination.claims.claimer import Claimer
-from sagecove.lab.deployment import job
+from sagecove.lab.deployment import job_submission
 from sagecove.lab.world import World
 
 
 def world_with_backlog(count: int, **fields: Any) -> World:
     """Returns a world with two machines and many waiting jobs, written like submitted ones."""
-    world = World(nodes=1, seed=2)
+    world = World(node_count=1, seed=2)
     world.cloud.capacity = {"small": 2, "gpu": 0}
     for _ in range(2):
-        world.cloud.start("small", "a", False)
+        world.cloud.start_machine("small", "a", False)
     world.run(3)
     for number in range(count):
-        spec = world.spec(job(number, reckonS=5.0, dueS=900.0, **fields))
+        spec = world.add_spec(job_submission(number, reckonS=5.0, dueS=900.0, **fields))
         put = {
             "put": f"s/job/{spec['nameId']}",
             "v": {"spec": spec, "at": world.now + number / 100},
@@ -34,7 +34,7 @@
 def test_long_backlog_starts_in_order_of_age() -> None:
     world = world_with_backlog(600)
     world.run(60)
-    order = [task for _, task, _ in world.starts]
+    order = [task for _, task, _ in world.task_starts]
     assert len(order) > 30
     # Random placement and parallel claims may swap close neighbours only.
     for place, task in enumerate(order):
@@ -50,10 +50,10 @@
     world = world_with_backlog(300, outfit="guests")
     world.run(20)
     # A late job that is due soon still goes first.
-    urgent = job(9999, outfit="guests", rank="urgent", dueS=30.0)
+    urgent = job_submission(9999, outfit="guests", rank="urgent", dueS=30.0)
     world.submit("n0", urgent)
-    world.until(lambda: "run-009999/0" in [t for _, t, _ in world.starts], 12)
-    assert len(world.starts) < 60
+    world.run_until(lambda: "run-009999/0" in [t for _, t, _ in world.task_starts], 12)
+    assert len(world.task_starts) < 60
 
 
 def test_pass_visits_few_resting_jobs(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -78,8 +78,8 @@
     world = world_with_backlog(40)
     world.run(5)
     for number in (30, 31, 39):
-        assert world.user("n0", "POST", f"/api/jobs/run-{number:06d}/cancel")[0] == 200
-    world.until(lambda: len(world.completed) == 37, 200)
+        assert world.user_request("n0", "POST", f"/api/jobs/run-{number:06d}/cancel")[0] == 200
+    world.run_until(lambda: len(world.completed_tasks) == 37, 200)
     world.run(3)
     owner = world.owners["n0"]
     assert not owner.jobs and not owner.backlog.active and not owner.backlog.groups
@@ -93,7 +93,7 @@
     owner = world.owners["n0"]
     within = sorted(j.id for j in owner.jobs.values() if j.within_guarantee)
     assert within == [f"run-{n:06d}" for n in range(8)]
-    world.user("n0", "POST", "/api/jobs/run-000003/cancel")
+    world.user_request("n0", "POST", "/api/jobs/run-000003/cancel")
     world.run(1)
     assert (
         owner.jobs["run-000008"].within_guarantee and not owner.jobs["run-000010"].within_guarantee
@@ -102,18 +102,18 @@
 
 def test_controllers_claim_different_jobs() -> None:
     # Of five controllers four lost each claim: 4 jobs a pass were claimed, and machines were idle.
-    world = World(nodes=5, seed=3, audit=False)
+    world = World(node_count=5, seed=3, checks_ledgers=False)
     world.cloud.capacity = {"small": 150, "gpu": 0}
     world.run(3)
     for number in range(150):
-        world.cloud.start("small", "ab"[number % 2], False)
+        world.cloud.start_machine("small", "ab"[number % 2], False)
     world.run(8)
     for worker in world.workers.values():
-        worker.run_s = 60.0
+        worker.task_run_s = 60.0
     for number in range(200):
-        spec = world.spec(job(number, outfit="guests"))
+        spec = world.add_spec(job_submission(number, outfit="guests"))
         put = {"put": f"s/job/{spec['nameId']}", "v": {"spec": spec, "at": world.now}}
         world.state.commit({"if": [], "then": [put]})
     world.run(6)
     # With all controllers trying the same jobs 79 had started by now, and 193 claims were lost.
-    assert len(world.starts) > 110
+    assert len(world.task_starts) > 110
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 import pytest
 
 from sagecove.cli import main
-from sagecove.lab.deployment import job
+from sagecove.lab.deployment import job_submission
 from sagecove.lab.world import World
 
 ANSWERS: dict[str, tuple[int, Any]] = {}
@@ -49,7 +49,7 @@
 
 def test_submit_status_and_cancel(controller: str, tmp_path: Path, capsys: Any) -> None:
     path = tmp_path / "job.json"
-    path.write_text(json.dumps(job(1)))
+    path.write_text(json.dumps(job_submission(1)))
     ANSWERS["POST /api/jobs"] = (201, {"nameId": "run-000001", "standing": "pending"})
     running = {"nameId": "run-000001", "standing": "running", "done": 1, "running": 2}
     ANSWERS["GET /api/jobs/run-000001"] = (200, running)
@@ -86,17 +86,17 @@
 def test_views_are_shown_as_the_service_tells_them(controller: str, capsys: Any) -> None:
     w = World()
     for _ in range(2):
-        w.cloud.start("small", "a", False)
+        w.cloud.start_machine("small", "a", False)
     w.run(3)
     w.cloud.capacity = {"small": 2, "gpu": 0}
-    w.broken.add("run-000001")
-    w.submit("n0", job(1, hands=3))
+    w.failing_jobs.add("run-000001")
+    w.submit("n0", job_submission(1, hands=3))
     w.run(30)
-    w.submit("n1", job(2, hands=40, rank="low"))
+    w.submit("n1", job_submission(2, hands=40, rank="low"))
     w.run(3)
     teller = next(n for n, o in w.owners.items() if o.jobs["run-000001"].judged_faulty)
-    ANSWERS["GET /explain/run-000001"] = w.user(teller, "GET", "/explain/run-000001")
-    ANSWERS["GET /cluster"] = w.user(teller, "GET", "/cluster")
+    ANSWERS["GET /explain/run-000001"] = w.user_request(teller, "GET", "/explain/run-000001")
+    ANSWERS["GET /cluster"] = w.user_request(teller, "GET", "/cluster")
     there = ["--controllers", controller]
     assert main(["explain", *there, "run-000001"]) == 0
     out = capsys.readouterr().out
--- a/tests/test_close_looks.py
+++ b/tests/test_close_looks.py
@@ -7,37 +7,39 @@
 import msgspec
 import pytest
 
-from sagecove.lab.deployment import job
-from sagecove.lab.rules import RuleBroken
-from sagecove.lab.world import World, standing, with_machines
+from sagecove.lab.deployment import job_submission
+from sagecove.lab.rule_checker import RuleViolation
+from sagecove.lab.world import World, job_state, world_with_machines
 from sagecove.protocol import users as u
 
 JOB = "run-000001"
 
 
 def small(**fields: Any) -> dict[str, Any]:
-    return job(1, **{"vcpus": 1.0, "memoryGb": 1.0, **fields})
+    return job_submission(1, **{"vcpus": 1.0, "memoryGb": 1.0, **fields})
 
 
 def looks(w: World, spec: dict[str, Any], seconds: float, every: float, kinds: str) -> None:
     """From now on, at all nodes: `p`oll, `s`ubmission, `c`ancellation."""
     for n in range(int(seconds / every)):
-        for node in sorted(w.inbox):
+        for node in sorted(w.inboxes):
 
             def ask(node: str = node) -> None:
                 if "p" in kinds:
-                    w.look(node, "GET", f"/api/jobs/{JOB}")
+                    w.start_user_request(node, "GET", f"/api/jobs/{JOB}")
                 if "s" in kinds:
-                    w.look(node, "POST", "/api/jobs", spec)
+                    w.start_user_request(node, "POST", "/api/jobs", spec)
                 if "c" in kinds:
-                    w.look(node, "POST", f"/api/jobs/{JOB}/cancel")
+                    w.start_user_request(node, "POST", f"/api/jobs/{JOB}/cancel")
 
-            w.later(n * every, ask)
+            w.call_later(n * every, ask)
 
 
 def now_and_then(w: World, most: float) -> None:
     """Each answer of the state service takes its own time."""
-    w.state.answer_after = lambda node, path: w.random.choice([0.0, 0.0, w.random.random() * most])
+    w.state.answer_delay_of = lambda node, path: w.random.choice(
+        [0.0, 0.0, w.random.random() * most]
+    )
 
 
 def quick(w: World) -> None:
@@ -45,7 +47,7 @@
 
 
 def slow(w: World) -> None:
-    w.state.slow_s = 0.3
+    w.state.answer_delay_s = 0.3
 
 
 def uneven(w: World) -> None:
@@ -53,22 +55,24 @@
 
 
 def answers_lost(w: World) -> None:
-    w.state.hook = lambda node, body: "unanswered" if w.random.random() < 0.4 else None
+    w.state.transaction_fault = lambda node, body: "unanswered" if w.random.random() < 0.4 else None
 
 
 def writes_late(w: World) -> None:
-    w.state.hook = lambda node, body: "late" if w.random.random() < 0.3 else None
+    w.state.transaction_fault = lambda node, body: "late" if w.random.random() < 0.3 else None
 
 
 def one_refused(w: World) -> None:
-    w.state.refused.add("n0")
+    w.state.refused_nodes.add("n0")
 
 
 def all_of_it(w: World) -> None:
     now_and_then(w, 1.2)
-    w.state.hook = lambda node, body: w.random.choice([None, None, "unanswered", "late"])
-    w.later(1.0, lambda: w.state.refused.add("n0"))
-    w.later(3.0, w.state.refused.clear)
+    w.state.transaction_fault = lambda node, body: w.random.choice(
+        [None, None, "unanswered", "late"]
+    )
+    w.call_later(1.0, lambda: w.state.refused_nodes.add("n0"))
+    w.call_later(3.0, w.state.refused_nodes.clear)
 
 
 WAYS = [quick, slow, uneven, answers_lost, writes_late, one_refused, all_of_it]
@@ -76,14 +80,14 @@
 
 def over(w: World, state: str | None = None) -> None:
     """All troubles end; all nodes come to tell the same, for good."""
-    w.state.hook = w.state.answer_after = None
-    w.state.slow_s = 0.0
-    w.state.refused.clear()
-    w.calm_at = w.now
+    w.state.transaction_fault = w.state.answer_delay_of = None
+    w.state.answer_delay_s = 0.0
+    w.state.refused_nodes.clear()
+    w.faults_over_at = w.now
     w.run(2.0)
     for node in sorted(w.owners):
-        w.until(lambda node=node: standing(w, node, JOB) in ("done", "aborted"), 60)
-    told = {standing(w, node, JOB) for node in w.owners}
+        w.run_until(lambda node=node: job_state(w, node, JOB) in ("done", "aborted"), 60)
+    told = {job_state(w, node, JOB) for node in w.owners}
     assert len(told) == 1 and state in (None, *told)
 
 
@@ -91,19 +95,19 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize("cancel_at", [None, 0.0, 0.06, 0.5, 2.0, 5.1])
 def test_no_node_tells_anything_older(cancel_at: float | None, way: Any, nodes: int) -> None:
-    w = World(nodes=nodes, seed=7 + nodes)
+    w = World(node_count=nodes, seed=7 + nodes)
     for i in range(2 * nodes):
-        w.cloud.start("small", "ab"[i % 2], False)
+        w.cloud.start_machine("small", "ab"[i % 2], False)
     w.run(3)
     way(w)
-    spec = w.spec(small(hands=2))
+    spec = w.add_spec(small(hands=2))
     for worker in w.workers.values():
-        worker.run_s = 3.0
+        worker.task_run_s = 3.0
     # Asked for before there is such a job, then submitted at all nodes, asked for, cancelled.
     looks(w, spec, 7.0, 0.1, "p")
-    w.later(0.3, lambda: looks(w, spec, 6.0, 0.25, "s"))
+    w.call_later(0.3, lambda: looks(w, spec, 6.0, 0.25, "s"))
     if cancel_at is not None:
-        w.later(0.3 + cancel_at, lambda: looks(w, spec, 3.0, 0.5, "c"))
+        w.call_later(0.3 + cancel_at, lambda: looks(w, spec, 3.0, 0.5, "c"))
     w.run(12)
     over(w, None if cancel_at is not None else "done")
 
@@ -114,56 +118,56 @@
     first: str, then: str
 ) -> None:
     for step in range(0, 30):
-        w = with_machines(3)
-        spec = w.spec(small(shape="service"))
+        w = world_with_machines(3)
+        spec = w.add_spec(small(shape="service"))
         if first == "c":
             w.submit("n2", spec)
             w.run(1.0)
         now_and_then(w, 0.3)
         looks(w, spec, 0.02, 0.02, first)
-        w.later(step * 0.02, lambda w=w, spec=spec: looks(w, spec, 0.02, 0.02, then))
+        w.call_later(step * 0.02, lambda w=w, spec=spec: looks(w, spec, 0.02, 0.02, then))
         w.run(3)
-        if "c" in first + then and JOB in w.told:
+        if "c" in first + then and JOB in w.reported_states:
             w.submit("n1", spec)
-            w.user("n0", "POST", f"/api/jobs/{JOB}/cancel")
+            w.user_request("n0", "POST", f"/api/jobs/{JOB}/cancel")
             over(w, "aborted")
 
 
 def test_a_read_under_way_answers_nobody_who_came_after_it() -> None:
     # Asked for before there is such a job, and answered late; accepted and cancelled meanwhile.
-    w = with_machines(3)
-    w.state.answer_after = lambda node, path: (
+    w = world_with_machines(3)
+    w.state.answer_delay_of = lambda node, path: (
         1.2 if (node, path[:9]) == ("n0", "/store/o/") else 0.0
     )
-    w.look("n0", "GET", f"/api/jobs/{JOB}")
+    w.start_user_request("n0", "GET", f"/api/jobs/{JOB}")
     w.run(0.3)
     w.submit("n1", small(shape="service"))
-    assert w.user("n1", "POST", f"/api/jobs/{JOB}/cancel")[0] == 200
+    assert w.user_request("n1", "POST", f"/api/jobs/{JOB}/cancel")[0] == 200
     for _ in range(3):
-        w.look("n0", "GET", f"/api/jobs/{JOB}")
-        w.look("n0", "POST", f"/api/jobs/{JOB}/cancel")
-    w.look("n0", "POST", "/api/jobs", w.specs[JOB])
+        w.start_user_request("n0", "GET", f"/api/jobs/{JOB}")
+        w.start_user_request("n0", "POST", f"/api/jobs/{JOB}/cancel")
+    w.start_user_request("n0", "POST", "/api/jobs", w.specs[JOB])
     w.run(3)
-    assert standing(w, "n0", JOB) == "aborted"
+    assert job_state(w, "n0", JOB) == "aborted"
 
 
 def test_a_known_job_is_not_refused_whatever_would_be_said_of_a_new_one() -> None:
-    w = with_machines(3)
+    w = world_with_machines(3)
     spec = small(hands=2)
     w.submit("n0", spec)
     # Spaces of another client, a team that is gone, types that fit no longer.
     padded = msgspec.json.encode(spec) + b" " * 16_000
-    w.until(lambda: standing(w, "n1", JOB) == "done", 30)
+    w.run_until(lambda: job_state(w, "n1", JOB) == "done", 30)
     for node in w.owners:
-        status, _ = w.user(node, "POST", "/api/jobs", padded)
+        status, _ = w.user_request(node, "POST", "/api/jobs", padded)
         assert status == 200
     another = padded.replace(b"run-000001", b"run-000002")
-    status, body = w.user("n1", "POST", "/api/jobs", another)
+    status, body = w.user_request("n1", "POST", "/api/jobs", another)
     assert status == 400 and "too long" in body["error"]
 
 
 def test_a_cancellation_is_confirmed_while_the_record_moves_on_all_the_time() -> None:
-    w = with_machines(6)
+    w = world_with_machines(6)
     w.submit("n0", small(hands=60, reckonS=5.0))
     w.run(2)
 
@@ -172,14 +176,14 @@
         if any(change.get("drop") == key for change in body["then"]) and key in w.state.keys:
             w.state.commit({"if": [], "then": [{"put": key, "v": w.state.keys[key][0]}]})
 
-    w.state.hook = claims_come_first
-    assert w.user("n1", "POST", f"/api/jobs/{JOB}/cancel") == (
+    w.state.transaction_fault = claims_come_first
+    assert w.user_request("n1", "POST", f"/api/jobs/{JOB}/cancel") == (
         200,
         {"nameId": JOB, "standing": "aborted"},
     )
-    w.state.hook = None
+    w.state.transaction_fault = None
     w.run(10)
-    assert w.running(JOB) == 0
+    assert w.running_task_count(JOB) == 0
 
 
 BAD: list[tuple[str, Any, int, str]] = [
@@ -210,8 +214,8 @@
 def test_odd_submissions_are_refused_by_name_and_known_jobs_are_not(
     field: str, value: Any, status: int, text: str
 ) -> None:
-    w = with_machines(3)
-    got, body = w.user("n0", "POST", "/api/jobs", {**small(), field: value})
+    w = world_with_machines(3)
+    got, body = w.user_request("n0", "POST", "/api/jobs", {**small(), field: value})
     assert got == status and text in body["error"], body
     assert not [key for key in w.state.keys if key.startswith("s/job/")]
     # A job of the same id is nothing worse for it.
@@ -228,18 +232,21 @@
     ],
 )
 def test_gangs_and_services_that_can_never_all_run_are_refused(fields: dict[str, Any]) -> None:
-    w = with_machines(3)
-    assert w.user("n0", "POST", "/api/jobs", job(1, **fields))[0] == 422
-    assert w.submit("n0", job(2, scatter=True, hands=1, shape="service", range="a"))[0] == 201
-    assert w.submit("n0", job(3, scatter=True, hands=3, shape="ensemble"))[0] == 201
+    w = world_with_machines(3)
+    assert w.user_request("n0", "POST", "/api/jobs", job_submission(1, **fields))[0] == 422
+    assert (
+        w.submit("n0", job_submission(2, scatter=True, hands=1, shape="service", range="a"))[0]
+        == 201
+    )
+    assert w.submit("n0", job_submission(3, scatter=True, hands=3, shape="ensemble"))[0] == 201
 
 
 def test_every_field_that_is_missing_is_named() -> None:
-    w = with_machines(1)
+    w = world_with_machines(1)
     for n, field in enumerate(small()):
-        spec = {k: v for k, v in job(n + 1).items() if k != field}
-        w.specs[f"run-{n + 1:06d}"] = job(n + 1)
-        status, body = w.user("n0", "POST", "/api/jobs", spec)
+        spec = {k: v for k, v in job_submission(n + 1).items() if k != field}
+        w.specs[f"run-{n + 1:06d}"] = job_submission(n + 1)
+        status, body = w.user_request("n0", "POST", "/api/jobs", spec)
         if field in ("breeds", "range", "dueS"):
             assert status in (200, 201)
         else:
@@ -248,65 +255,67 @@
 
 @pytest.mark.parametrize("name", ["run-1\n", "run-", "run-a%0a", "run-a/b/c", "..", "run-\x00"])
 def test_odd_ids_are_unknown(name: str) -> None:
-    w = with_machines(1)
+    w = world_with_machines(1)
     for path in (f"/api/jobs/{name}", f"/api/jobs/{name}/cancel"):
-        status, _ = w.user("n0", "POST" if path.endswith("cancel") else "GET", path)
+        status, _ = w.user_request("n0", "POST" if path.endswith("cancel") else "GET", path)
         assert status == 404
-    assert not u.JOB_ID.match(name)
+    assert not u.JOB_ID_PATTERN.match(name)
 
 
 # -- the checks find what they are for -----------------------------------------------------------
 
 
 def test_an_older_answer_is_found_by_when_it_was_asked_for() -> None:
-    w = with_machines(1)
-    w.spec(small())
-    early = next(w.moments)
-    w.answered(JOB, 201, {"standing": "pending"}, submitted=True)
-    w.answered(JOB, 404, None, submitted=False, begun=early)
-    late = next(w.moments)
-    with pytest.raises(RuleBroken, match="forgotten"):
-        w.answered(JOB, 404, None, submitted=False, begun=late)
-    w.answered(JOB, 200, {"standing": "aborted"}, submitted=False)
-    w.answered(JOB, 200, {"standing": "running"}, submitted=False, begun=late)
-    with pytest.raises(RuleBroken, match="went_back"):
-        w.answered(JOB, 200, {"standing": "running"}, submitted=False, begun=next(w.moments))
-    with pytest.raises(RuleBroken, match="went_back"):
-        w.completed.add(f"{JOB}/0")
-        w.answered(JOB, 200, {"standing": "done"}, submitted=False, begun=early)
+    w = world_with_machines(1)
+    w.add_spec(small())
+    early = next(w.answer_counter)
+    w.record_answer(JOB, 201, {"standing": "pending"}, submitted=True)
+    w.record_answer(JOB, 404, None, submitted=False, asked_at=early)
+    late = next(w.answer_counter)
+    with pytest.raises(RuleViolation, match="forgotten"):
+        w.record_answer(JOB, 404, None, submitted=False, asked_at=late)
+    w.record_answer(JOB, 200, {"standing": "aborted"}, submitted=False)
+    w.record_answer(JOB, 200, {"standing": "running"}, submitted=False, asked_at=late)
+    with pytest.raises(RuleViolation, match="went_back"):
+        w.record_answer(
+            JOB, 200, {"standing": "running"}, submitted=False, asked_at=next(w.answer_counter)
+        )
+    with pytest.raises(RuleViolation, match="went_back"):
+        w.completed_tasks.add(f"{JOB}/0")
+        w.record_answer(JOB, 200, {"standing": "done"}, submitted=False, asked_at=early)
 
 
 @pytest.mark.parametrize("wrong", [{"vcpus": 17.0}, {"range": "nowhere"}, {"outfit": "nobody"}])
 def test_an_acceptance_of_what_cannot_run_is_found(wrong: dict[str, Any]) -> None:
-    w = with_machines(1)
-    w.spec(small(**wrong))
-    with pytest.raises(RuleBroken, match="accepted"):
-        w.answered(JOB, 201, {"standing": "pending"}, submitted=True)
-    del w.spec(small())["bundle"]
-    with pytest.raises(RuleBroken, match="accepted .* lacks"):
-        w.answered(JOB, 201, {"standing": "pending"}, submitted=True)
+    w = world_with_machines(1)
+    w.add_spec(small(**wrong))
+    with pytest.raises(RuleViolation, match="accepted"):
+        w.record_answer(JOB, 201, {"standing": "pending"}, submitted=True)
+    del w.add_spec(small())["bundle"]
+    with pytest.raises(RuleViolation, match="accepted .* lacks"):
+        w.record_answer(JOB, 201, {"standing": "pending"}, submitted=True)
 
 
 def test_a_job_that_waits_beside_room_is_found() -> None:
-    w = with_machines(3)
+    w = world_with_machines(3)
     for owner in w.owners.values():
         owner.scheduling_pass.run = lambda now: None  # type: ignore[method-assign]
         owner.maintenance.return_idle = lambda now: None  # type: ignore[method-assign]
     owner.users._claim_at_submission = lambda job: None  # type: ignore[method-assign]
     w.submit(owner.settings.node, small())
-    w.submit(owner.settings.node, job(2, outfit="blue", vcpus=4.0, breeds=["gpu"]))
+    w.submit(owner.settings.node, job_submission(2, outfit="blue", vcpus=4.0, breeds=["gpu"]))
     w.run(100)
-    w.calm_at = w.now
-    with pytest.raises(RuleBroken, match=f"waiting {JOB}"):
+    w.faults_over_at = w.now
+    with pytest.raises(RuleViolation, match=f"waiting {JOB}"):
         w.run(100)
 
 
 def test_a_start_after_a_confirmed_cancellation_is_counted() -> None:
-    w = with_machines(1)
+    w = world_with_machines(1)
     w.submit("n0", small(hands=1))
-    w.until(lambda: w.running(JOB) == 1, 20)
-    assert w.user("n0", "POST", f"/api/jobs/{JOB}/cancel")[0] == 200
+    w.run_until(lambda: w.running_task_count(JOB) == 1, 20)
+    assert w.user_request("n0", "POST", f"/api/jobs/{JOB}/cancel")[0] == 200
     w.run(3)
-    assert w.late_starts == []
-    next(iter(w.workers.values())).launch(f"{JOB}/0", 99)
-    assert [task for task, _ in w.late_starts] == [f"{JOB}/0"]
+    assert w.starts_after_cancel == []
+    next(iter(w.workers.values())).launch_task(f"{JOB}/0", 99)
+    assert [task for task, _ in w.starts_after_cancel] == [f"{JOB}/0"]
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -8,11 +8,11 @@
 import pytest
 
 from sagecove.cli import main
-from sagecove.lab.deployment import settings
+from sagecove.lab.deployment import controller_settings
 
 
 def write(tmp_path: Path, change: Any = None) -> str:
-    raw = json.loads(msgspec.json.encode(settings(0)))
+    raw = json.loads(msgspec.json.encode(controller_settings(0)))
     raw["new_field"] = {"ignored": True}
     if change is not None:
         change(raw)
@@ -56,7 +56,7 @@
 
 
 def test_leases_leave_room_for_cancellations() -> None:
-    s = settings(0)
+    s = controller_settings(0)
     workers = s.params.workers
     assert s.lease_s < workers.lease_s
     assert s.lease_s + workers.lease_s + 4 < workers.cancel_s
--- a/tests/test_features.py
+++ b/tests/test_features.py
@@ -12,10 +12,10 @@
 from sagecove.cli import main
 from sagecove.config import SettingsError
 from sagecove.coordination.owner import Owner
-from sagecove.features import load, maker
-from sagecove.lab.deployment import job, settings
+from sagecove.features import feature_factory, load_features
+from sagecove.lab.deployment import controller_settings, job_submission
 from tests.test_cli import ANSWERS, controller
-from tests.test_sweeps import inline, submit, world
+from tests.test_sweeps import point_job, submit_sweep, sweep_world
 
 __all__ = ["controller"]
 
@@ -38,12 +38,12 @@
     path = tmp_path / "features.toml"
     path.write_text(text)
     with pytest.raises(SettingsError) as error:
-        load(str(path))
+        load_features(str(path))
     assert str(error.value).startswith(str(path)) and told in str(error.value)
 
 
 def test_the_file_of_the_deployment_is_in_order() -> None:
-    assert [name for name, _ in load("deploy/features.toml")] == ["sweeps"]
+    assert [name for name, _ in load_features("deploy/features.toml")] == ["sweeps"]
 
 
 @pytest.mark.parametrize("text", ["", "[sweeps]\nenabled = false\n"])
@@ -73,30 +73,32 @@
 def test_commands_of_sweeps_as_the_service_answers_them(
     controller: str, tmp_path: Path, capsys: Any
 ) -> None:
-    w = world(3)
+    w = sweep_world(3)
     there = ["--controllers", controller]
-    body = {"id": "run-s", "space": "x in 1..6 where x != 2", "job": inline(memoryGb="${x}")}
+    body = {"id": "run-s", "space": "x in 1..6 where x != 2", "job": point_job(memoryGb="${x}")}
     path = tmp_path / "sweep.json"
     path.write_text(json.dumps(body))
-    ANSWERS["POST /api/sweeps/preview"] = w.user("n0", "POST", "/api/sweeps/preview", body)
+    ANSWERS["POST /api/sweeps/preview"] = w.user_request("n0", "POST", "/api/sweeps/preview", body)
     assert main(["sweep", "preview", *there, str(path)]) == 0
     assert '0: {"x": 1, "repetition": 0, "index": 0}  can run' in capsys.readouterr().out
-    ANSWERS["POST /api/sweeps"] = w.user("n0", "POST", "/api/sweeps", body)
+    ANSWERS["POST /api/sweeps"] = w.user_request("n0", "POST", "/api/sweeps", body)
     assert main(["sweep", "submit", *there, str(path)]) == 0
     assert capsys.readouterr().out == "run-s: pending, 6 points\n"
-    ANSWERS["GET /api/sweeps"] = w.user("n1", "GET", "/api/sweeps")
+    ANSWERS["GET /api/sweeps"] = w.user_request("n1", "GET", "/api/sweeps")
     assert main(["sweep", "list", *there]) == 0
     assert "run-s: pending, 6 points: 0 done" in capsys.readouterr().out
-    w.until(lambda: w.user("n0", "GET", "/api/sweeps/run-s")[1]["state"] == "done", 60)
-    ANSWERS["GET /api/sweeps/run-s"] = w.user("n1", "GET", "/api/sweeps/run-s")
+    w.run_until(lambda: w.user_request("n0", "GET", "/api/sweeps/run-s")[1]["state"] == "done", 60)
+    ANSWERS["GET /api/sweeps/run-s"] = w.user_request("n1", "GET", "/api/sweeps/run-s")
     assert main(["sweep", "status", "--wait", *there, "run-s"]) == 0
     assert capsys.readouterr().out == "run-s: done, 6 points: 5 done, 1 left out\n"
     query = "/api/sweeps/run-s/points?from=4&most=100"
-    ANSWERS[f"GET {query}"] = w.user("n1", "GET", query)
+    ANSWERS[f"GET {query}"] = w.user_request("n1", "GET", query)
     assert main(["sweep", "points", *there, "run-s", "--from", "4"]) == 0
     assert capsys.readouterr().out.splitlines()[1].startswith("run-s.p5: done")
     # Nothing failed: there is nothing to try again.
-    refused = w.user("n1", "POST", "/api/sweeps/run-s/retry", {"id": "run-t", "states": ["failed"]})
+    refused = w.user_request(
+        "n1", "POST", "/api/sweeps/run-s/retry", {"id": "run-t", "states": ["failed"]}
+    )
     ANSWERS["POST /api/sweeps/run-s/retry"] = refused
     assert main(["sweep", "retry", *there, "run-s", "run-t", "--failed"]) == 1
     assert "no point of sweep run-s is failed" in capsys.readouterr().err
@@ -106,19 +108,19 @@
 
 
 def test_commands_of_templates_as_the_service_answers_them(controller: str, capsys: Any) -> None:
-    w = world(3)
+    w = sweep_world(3)
     there = ["--controllers", controller]
     template = json.loads(Path("examples/template.json").read_text())
-    ANSWERS["POST /api/templates"] = w.user("n0", "POST", "/api/templates", template)
+    ANSWERS["POST /api/templates"] = w.user_request("n0", "POST", "/api/templates", template)
     assert main(["template", "put", *there, "examples/template.json"]) == 0
     assert capsys.readouterr().out == "reindex: version 1\n"
-    ANSWERS["GET /api/templates"] = w.user("n1", "GET", "/api/templates")
+    ANSWERS["GET /api/templates"] = w.user_request("n1", "GET", "/api/templates")
     assert main(["template", "list", *there]) == 0
     assert capsys.readouterr().out.startswith("reindex: version 1  Reindexes")
     template["parameters"][2]["default"] = 2.0
-    w.user("n0", "POST", "/api/templates", template)
+    w.user_request("n0", "POST", "/api/templates", template)
     for query in ("?version=1", ""):
-        ANSWERS[f"GET /api/templates/reindex{query}"] = w.user(
+        ANSWERS[f"GET /api/templates/reindex{query}"] = w.user_request(
             "n2", "GET", f"/api/templates/reindex{query}"
         )
     assert main(["template", "diff", *there, "reindex", "1"]) == 0
@@ -126,8 +128,8 @@
     assert main(["template", "show", *there, "reindex"]) == 0
     assert json.loads(capsys.readouterr().out)["version"] == 2
     one = {"nameId": "run-one", "values": {"firm": "red", "shard": 3}}
-    w.specs["run-one"] = job(1)
-    ANSWERS["POST /api/templates/reindex/jobs"] = w.user(
+    w.specs["run-one"] = job_submission(1)
+    ANSWERS["POST /api/templates/reindex/jobs"] = w.user_request(
         "n0", "POST", "/api/templates/reindex/jobs", one
     )
     there = ["template", "submit", *there, "reindex", "run-one", "firm=red", "shard=3"]
@@ -136,18 +138,24 @@
 
 
 def test_every_example_is_taken(tmp_path: Path) -> None:
-    w = world(3)
+    w = sweep_world(3)
     for name in ("array", "gang", "service"):
         spec = json.loads(Path(f"examples/{name}.json").read_text())
         assert w.submit("n0", spec)[0] == 201
     template = json.loads(Path("examples/template.json").read_text())
-    assert w.user("n0", "POST", "/api/templates", template)[0] == 201
+    assert w.user_request("n0", "POST", "/api/templates", template)[0] == 201
     for name in ("sweep", "nightly"):
         body = json.loads(Path(f"examples/{name}.json").read_text())
-        assert w.user("n0", "POST", "/api/sweeps", body)[0] == 201
-    assert submit(w, "x in 1..2", name="run-more")[0] == 201
+        assert w.user_request("n0", "POST", "/api/sweeps", body)[0] == 201
+    assert submit_sweep(w, "x in 1..2", name="run-more")[0] == 201
 
 
 def test_limits_of_the_state_service_that_are_too_low_are_named() -> None:
     with pytest.raises(SettingsError, match="`\\$.cluster.state.txn_ops` is 4"):
-        Owner(settings(0, txn_ops=4), Random(1), 0.0, 0.0, maker(load("deploy/features.toml")))
+        Owner(
+            controller_settings(0, txn_ops=4),
+            Random(1),
+            0.0,
+            0.0,
+            feature_factory(load_features("deploy/features.toml")),
+        )
--- a/tests/test_fuzz_reports.py
+++ b/tests/test_fuzz_reports.py
@@ -79,4 +79,4 @@
 # A controller with a machine that runs two tasks, and the machine's next report.
 WORLD = world_with_two_running_tasks(600.0)
 OWNER: Owner = WORLD.owners["n0"]
-BODY: dict[str, Any] = WORLD.workers["vm-000000"].body()
+BODY: dict[str, Any] = WORLD.workers["vm-000000"].report_body()
--- a/tests/test_gpu_teams.py
+++ b/tests/test_gpu_teams.py
@@ -17,9 +17,9 @@
 from sagecove.coordination.limits.claim_totals import ClaimTotals
 from sagecove.coordination.limits.guarantees import Guarantees
 from sagecove.coordination.model import JobRun
-from sagecove.lab.deployment import REPORT_S, job, settings
+from sagecove.lab.deployment import REPORT_S, controller_settings, job_submission
 from sagecove.lab.world import World
-from sagecove.protocol.users import read_job
+from sagecove.protocol.users import decode_job
 from sagecove.storage.records import JobRecord
 from tests.test_limits import GUEST_TEAM, submit_all, team_use, world_with_machines
 
@@ -29,12 +29,12 @@
 
 
 def gpu_job(number: int, **fields: Any) -> dict[str, Any]:
-    return job(number, **{"vcpus": 3.0, "cards": 1, "memoryGb": 8.0, **fields})
+    return job_submission(number, **{"vcpus": 3.0, "cards": 1, "memoryGb": 8.0, **fields})
 
 
 def job_run(number: int, submitted_at: float, cpus: float, gpus: float, tasks: int = 1) -> JobRun:
-    spec = job(number, outfit="t", vcpus=cpus, cards=gpus, hands=tasks)
-    return JobRun(JobRecord(read_job(json.dumps(spec).encode()), submitted_at), 0)
+    spec = job_submission(number, outfit="t", vcpus=cpus, cards=gpus, hands=tasks)
+    return JobRun(JobRecord(decode_job(json.dumps(spec).encode()), submitted_at), 0)
 
 
 def covered_jobs(team: Team, runs: list[JobRun]) -> set[str]:
@@ -151,7 +151,7 @@
 
 def test_guarantee_without_limit_is_valid() -> None:
     raw = [gpu_team("a", 4, 0), {"name": "b", "cpus": 8, "cpus_max": 0}]
-    teams = settings(0, teams=raw).params.teams
+    teams = controller_settings(0, teams=raw).params.teams
     assert teams[0].gpus <= teams[0].gpus_max and teams[1].cpus <= teams[1].cpus_max
 
 
@@ -165,13 +165,13 @@
         nodes, nodes, gpu_team("red", 2 * nodes, 0), gpu_team("blue", nodes, 0), kind="gpu"
     )
     for worker in world.workers.values():
-        worker.run_s = None
+        worker.task_run_s = None
     endless = {"reckonS": 1e6}
     submit_all(world, gpu_job(1, outfit="blue", hands=4 * nodes, **endless))
-    world.until(lambda: team_use(world, "blue", "cards") == 4 * nodes, 30)
+    world.run_until(lambda: team_use(world, "blue", "cards") == 4 * nodes, 30)
     world.run(2)
     submit_all(world, gpu_job(2, hands=2 * nodes, **endless))
-    assert world.until(lambda: team_use(world, "red", "cards") == 2 * nodes, 60) <= 3 * REPORT_S
+    assert world.run_until(lambda: team_use(world, "red", "cards") == 2 * nodes, 60) <= 3 * REPORT_S
     # Only what was borrowed is given back, and nothing is owed to a job beyond the guarantee.
     submit_all(world, gpu_job(3, hands=nodes, **endless))
     world.run(20)
@@ -188,18 +188,18 @@
     # Only a lack of CPUs made a service preempt its own team's arrays.
     world = world_with_machines(3, 3, gpu_team("red", 0, 6), kind="gpu")
     for worker in world.workers.values():
-        worker.run_s = None
+        worker.task_run_s = None
     submit_all(world, gpu_job(1, hands=12, reckonS=1e6))
-    world.until(lambda: team_use(world, "red", "cards") == 6, 30)
+    world.run_until(lambda: team_use(world, "red", "cards") == 6, 30)
     submit_all(world, gpu_job(2, shape="service", rank="production", hands=3))
-    assert world.until(lambda: world.running("run-000002") == 3, 40) < 12
+    assert world.run_until(lambda: world.running_task_count("run-000002") == 3, 40) < 12
 
 
 def test_gpu_limit_causes_no_cpu_transfers() -> None:
     world = world_with_machines(3, 6, gpu_team("red", 4, 12), kind="gpu")
     submit_all(world, *(gpu_job(n, hands=8) for n in range(6)))
-    world.until(lambda: len(world.completed) == 48, 120)
-    transfers = [v for _, k, v in world.state.changes if k.startswith("s/share/") and v]
+    world.run_until(lambda: len(world.completed_tasks) == 48, 120)
+    transfers = [v for _, k, v in world.state.change_log if k.startswith("s/share/") and v]
     assert all(amount[0] == 0 for v in transfers for amount in v.get("given", {}).values())
 
 
--- a/tests/test_images.py
+++ b/tests/test_images.py
@@ -15,13 +15,13 @@
 from sagecove.coordination.claims.candidates import find_candidates
 from sagecove.coordination.model import JobRun, Machine, Placement
 from sagecove.coordination.placement import plan_placements
-from sagecove.lab.deployment import TYPES, job
+from sagecove.lab.deployment import MACHINE_TYPES, job_submission
 from sagecove.lab.world import World
 from sagecove.protocol.cloud import MachineType
-from sagecove.protocol.users import read_job
+from sagecove.protocol.users import decode_job
 from sagecove.storage.records import JobRecord, MachineRecord
 
-GPU_TYPE = msgspec.convert(TYPES[1], MachineType)
+GPU_TYPE = msgspec.convert(MACHINE_TYPES[1], MachineType)
 GANG_FIELDS = {"shape": "ensemble", "vcpus": 3.0, "cards": 2, "memoryGb": 8.0, "sizeGb": 9.0}
 
 
@@ -35,7 +35,9 @@
 
 
 def make_job_run(number: int, **fields: Any) -> JobRun:
-    return JobRun(JobRecord(read_job(json.dumps(job(number, **fields)).encode()), 1.0), 0)
+    return JobRun(
+        JobRecord(decode_job(json.dumps(job_submission(number, **fields)).encode()), 1.0), 0
+    )
 
 
 def planned_machine_names(run: JobRun, machines: list[Machine], seed: int = 1) -> list[str]:
@@ -83,7 +85,7 @@
     world.cloud.capacity = {"small": 0, "gpu": 6}
     world.run(3)
     for _ in range(6):
-        world.cloud.start("gpu", "a", False)
+        world.cloud.start_machine("gpu", "a", False)
     world.run(5)
     return world
 
@@ -91,39 +93,39 @@
 @pytest.mark.parametrize("submitted_to", ["n0", "n1", "n2"])
 def test_job_is_claimed_where_its_image_is_cached(submitted_to: str) -> None:
     world = world_with_gpu_machines()
-    world.submit("n0", job(1, **GANG_FIELDS, hands=1))
-    world.until(lambda: len(world.completed) == 1, 60)
+    world.submit("n0", job_submission(1, **GANG_FIELDS, hands=1))
+    world.run_until(lambda: len(world.completed_tasks) == 1, 60)
     world.run(3)
-    first_machine = world.starts[-1][2]
-    world.submit(submitted_to, job(2, **GANG_FIELDS, hands=2))
-    assert world.until(lambda: world.running("run-000002") == 2, 30) < 1.0
-    assert {name for _, task, name in world.starts if "000002" in task} == {first_machine}
+    first_machine = world.task_starts[-1][2]
+    world.submit(submitted_to, job_submission(2, **GANG_FIELDS, hands=2))
+    assert world.run_until(lambda: world.running_task_count("run-000002") == 2, 30) < 1.0
+    assert {name for _, task, name in world.task_starts if "000002" in task} == {first_machine}
 
 
 def test_job_is_claimed_after_peer_with_its_image_ends() -> None:
     world = world_with_gpu_machines()
-    world.submit("n0", job(1, **GANG_FIELDS, hands=1))
-    world.until(lambda: len(world.completed) == 1, 60)
+    world.submit("n0", job_submission(1, **GANG_FIELDS, hands=1))
+    world.run_until(lambda: len(world.completed_tasks) == 1, 60)
     world.run(3)
-    warm_machine = world.starts[-1][2]
+    warm_machine = world.task_starts[-1][2]
     holder_name = world.owners["n0"].machines[warm_machine].record.shard
     # Peers have just been told of the cached image when the controller that holds it ends.
-    world.kill(holder_name)
+    world.kill_node(holder_name)
     other = next(iter(world.owners))
-    world.submit(other, job(2, **GANG_FIELDS, hands=2))
-    assert world.until(lambda: world.running("run-000002") == 2, 30) < 4.0
+    world.submit(other, job_submission(2, **GANG_FIELDS, hands=2))
+    assert world.run_until(lambda: world.running_task_count("run-000002") == 2, 30) < 4.0
 
 
 def test_image_being_fetched_does_not_count_as_cached() -> None:
     world = world_with_gpu_machines()
-    original_describe = world.describe
-    world.describe = lambda job_id, done: None  # type: ignore[method-assign]
-    world.submit("n0", job(1, **GANG_FIELDS, hands=1))
+    original_describe = world.fetch_description
+    world.fetch_description = lambda job_id, done: None  # type: ignore[method-assign]
+    world.submit("n0", job_submission(1, **GANG_FIELDS, hands=1))
     world.run(3)
     busy = [m for o in world.owners.values() for m in o.machines.values() if m.tasks]
     assert [m.fetching for m in busy] == [{"img": 1}] and not busy[0].images
-    world.user("n0", "POST", "/api/jobs/run-000001/cancel")
-    world.describe = original_describe  # type: ignore[method-assign]
+    world.user_request("n0", "POST", "/api/jobs/run-000001/cancel")
+    world.fetch_description = original_describe  # type: ignore[method-assign]
     world.run(10)
     assert not busy[0].fetching
 
@@ -134,10 +136,10 @@
     world.cloud.capacity = {"small": 0, "gpu": 9}
     world.run(3)
     for n in range(9):
-        world.cloud.start("gpu", zones[n % len(zones)], False)
+        world.cloud.start_machine("gpu", zones[n % len(zones)], False)
     world.run(5)
     for worker in world.workers.values():
-        worker.run_s = None
+        worker.task_run_s = None
     return world
 
 
@@ -145,20 +147,22 @@
     # Guards against using free room without the image: 22 s of fetching cost more than the work
     # that is lost by preempting a young task.
     world = world_with_estimated_run_times("a")
-    world.submit("n0", job(1, **GANG_FIELDS, hands=1, reckonS=1.0))
-    world.until(lambda: len(world.completed) == 1, 60)
-    warm_machine = world.starts[-1][2]
+    world.submit("n0", job_submission(1, **GANG_FIELDS, hands=1, reckonS=1.0))
+    world.run_until(lambda: len(world.completed_tasks) == 1, 60)
+    warm_machine = world.task_starts[-1][2]
     world.run(1)
     array = {"vcpus": 3.0, "cards": 1, "memoryGb": 8.0, "outfit": "guests", "reckonS": 500.0}
-    world.submit("n0", job(2, **array, hands=28, bundle="other", sizeGb=0.1))
-    world.until(lambda: world.running("run-000002") == 28, 30)
-    assert len(world.workers[warm_machine].live()) >= 3
+    world.submit("n0", job_submission(2, **array, hands=28, bundle="other", sizeGb=0.1))
+    world.run_until(lambda: world.running_task_count("run-000002") == 28, 30)
+    assert len(world.workers[warm_machine].live_tasks()) >= 3
     submitted_to = next(
         n for n, o in world.owners.items() if warm_machine in o.machines_by_shard.get(n, {})
     )
-    world.submit(submitted_to, job(3, **GANG_FIELDS, hands=1, rank="urgent", reckonS=500.0))
-    assert world.until(lambda: world.running("run-000003") == 1, 30) < 3.0
-    assert [name for _, task, name in world.starts if "000003" in task] == [warm_machine]
+    world.submit(
+        submitted_to, job_submission(3, **GANG_FIELDS, hands=1, rank="urgent", reckonS=500.0)
+    )
+    assert world.run_until(lambda: world.running_task_count("run-000003") == 1, 30) < 3.0
+    assert [name for _, task, name in world.task_starts if "000003" in task] == [warm_machine]
 
 
 class NoWaiting:
@@ -201,14 +205,15 @@
     # Guards against preempting in several zones, where the tasks can't start together.
     world = world_with_estimated_run_times("abc"[:2])
     array = {"vcpus": 3.0, "cards": 1, "memoryGb": 8.0, "outfit": "guests", "reckonS": 500.0}
-    world.submit("n0", job(1, **array, hands=36))
-    world.until(lambda: world.running("run-000001") == 36, 30)
+    world.submit("n0", job_submission(1, **array, hands=36))
+    world.run_until(lambda: world.running_task_count("run-000001") == 36, 30)
     world.submit(
-        "n1", job(2, **GANG_FIELDS, hands=hands, rank="urgent", samePlace=True, reckonS=60.0)
+        "n1",
+        job_submission(2, **GANG_FIELDS, hands=hands, rank="urgent", samePlace=True, reckonS=60.0),
     )
-    assert world.until(lambda: world.running("run-000002") == hands, 30) < 5.0
+    assert world.run_until(lambda: world.running_task_count("run-000002") == hands, 30) < 5.0
     # No more tasks were stopped than necessary.
-    assert world.running("run-000001") == 36 - 2 * hands
+    assert world.running_task_count("run-000001") == 36 - 2 * hands
 
 
 def test_room_preempted_for_gang_is_not_taken_by_others() -> None:
@@ -216,11 +221,13 @@
     # in a benchmark one gang stopped 107 tasks in five seconds.
     world = world_with_estimated_run_times("a")
     array = {"vcpus": 3.0, "cards": 1, "memoryGb": 8.0, "outfit": "guests", "reckonS": 500.0}
-    world.submit("n0", job(1, **array, hands=60, bundle="other", sizeGb=0.1))
-    world.until(lambda: world.running("run-000001") == 36, 30)
-    starts_before = len(world.starts)
-    world.submit("n1", job(2, **GANG_FIELDS, hands=4, rank="urgent", reckonS=60.0))
-    assert world.until(lambda: world.running("run-000002") == 4, 30) < 3.0
+    world.submit("n0", job_submission(1, **array, hands=60, bundle="other", sizeGb=0.1))
+    world.run_until(lambda: world.running_task_count("run-000001") == 36, 30)
+    starts_before = len(world.task_starts)
+    world.submit("n1", job_submission(2, **GANG_FIELDS, hands=4, rank="urgent", reckonS=60.0))
+    assert world.run_until(lambda: world.running_task_count("run-000002") == 4, 30) < 3.0
     world.run(5)
     # The gang needs eight GPUs: eight tasks were stopped, and nothing but the gang started.
-    assert len(world.starts) - starts_before == 4 and world.running("run-000001") == 28
+    assert (
+        len(world.task_starts) - starts_before == 4 and world.running_task_count("run-000001") == 28
+    )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,9 +13,9 @@
 import pytest
 
 from sagecove.cli import main
-from sagecove.lab.deployment import job
-from sagecove.lab.rules import RuleBroken
-from sagecove.lab.world import World, standing, with_machines
+from sagecove.lab.deployment import job_submission
+from sagecove.lab.rule_checker import RuleViolation
+from sagecove.lab.world import World, job_state, world_with_machines
 
 
 def dev(*args: str) -> subprocess.CompletedProcess[str]:
@@ -47,57 +47,57 @@
 
 def test_the_checker_knows_a_broken_rule_when_it_sees_one() -> None:
     # A checker that cannot fail is worth nothing: each rule is broken once, by hand.
-    w = with_machines(2)
+    w = world_with_machines(2)
     first, second = w.workers.values()
     for number in range(1, 6):
-        w.spec(job(number, hands=1))
+        w.add_spec(job_submission(number, hands=1))
     order = {"verb": "launch", "hand": "run-000001/0", "try": 1}
-    first.execute([order])
-    with pytest.raises(RuleBroken, match="ran_twice"):
-        second.execute([order])
+    first.execute_orders([order])
+    with pytest.raises(RuleViolation, match="ran_twice"):
+        second.execute_orders([order])
     w.specs["run-000002"]["breeds"] = ["gpu"]
-    with pytest.raises(RuleBroken, match="wrong_place"):
-        first.execute([{**order, "hand": "run-000002/0"}])
-    w.cancelled["run-000003"] = w.now - 100
-    with pytest.raises(RuleBroken, match="ran_cancelled"):
-        first.execute([{**order, "hand": "run-000003/0"}])
-    w.answered("run-000004", 201, {"standing": "pending"}, submitted=True)
-    with pytest.raises(RuleBroken, match="forgotten"):
-        w.answered("run-000004", 404, {}, submitted=False)
-    with pytest.raises(RuleBroken, match="not_done"):
-        w.answered("run-000004", 200, {"standing": "done"}, submitted=False)
-    w.answered("run-000005", 200, {"standing": "aborted"}, submitted=False)
-    with pytest.raises(RuleBroken, match="went_back"):
-        w.answered("run-000005", 200, {"standing": "running"}, submitted=False)
-    with pytest.raises(RuleBroken, match="invented"):
-        w.answered("run-000099", 200, {"standing": "pending"}, submitted=False)
+    with pytest.raises(RuleViolation, match="wrong_place"):
+        first.execute_orders([{**order, "hand": "run-000002/0"}])
+    w.cancelled_at["run-000003"] = w.now - 100
+    with pytest.raises(RuleViolation, match="ran_cancelled"):
+        first.execute_orders([{**order, "hand": "run-000003/0"}])
+    w.record_answer("run-000004", 201, {"standing": "pending"}, submitted=True)
+    with pytest.raises(RuleViolation, match="forgotten"):
+        w.record_answer("run-000004", 404, {}, submitted=False)
+    with pytest.raises(RuleViolation, match="not_done"):
+        w.record_answer("run-000004", 200, {"standing": "done"}, submitted=False)
+    w.record_answer("run-000005", 200, {"standing": "aborted"}, submitted=False)
+    with pytest.raises(RuleViolation, match="went_back"):
+        w.record_answer("run-000005", 200, {"standing": "running"}, submitted=False)
+    with pytest.raises(RuleViolation, match="invented"):
+        w.record_answer("run-000099", 200, {"standing": "pending"}, submitted=False)
 
 
 def test_a_storm_of_429_and_answers_after_the_client_gave_up_lose_nothing() -> None:
-    w = with_machines(2)
-    w.state.storm = True
-    status, _ = w.submit("n0", job(1, hands=2))
+    w = world_with_machines(2)
+    w.state.throttles_all = True
+    status, _ = w.submit("n0", job_submission(1, hands=2))
     assert status == 503
-    w.state.storm = False
+    w.state.throttles_all = False
     w.run(2)
     # Executed, but told of too late: the submission is there when it is repeated.
-    w.state.slow_s = 4.0
-    assert w.submit("n0", job(1, hands=2))[0] in (0, 503)
-    w.state.slow_s = 0.0
+    w.state.answer_delay_s = 4.0
+    assert w.submit("n0", job_submission(1, hands=2))[0] in (0, 503)
+    w.state.answer_delay_s = 0.0
     w.run(6)
-    assert w.submit("n1", job(1, hands=2))[0] in (200, 201)
-    w.until(lambda: standing(w, "n1", "run-000001") == "done", 60)
+    assert w.submit("n1", job_submission(1, hands=2))[0] in (200, 201)
+    w.run_until(lambda: job_state(w, "n1", "run-000001") == "done", 60)
 
 
 def test_a_cloud_in_trouble_rents_nothing_until_it_is_over() -> None:
-    w = World(nodes=1)
+    w = World(node_count=1)
     w.run(3)
-    w.cloud.refuses = True
-    w.submit("n0", job(1, hands=2))
+    w.cloud.unavailable = True
+    w.submit("n0", job_submission(1, hands=2))
     w.run(10)
-    assert not w.cloud.requests
-    w.cloud.refuses = False
-    w.until(lambda: standing(w, "n0", "run-000001") == "done", 60)
+    assert not w.cloud.machines_by_request
+    w.cloud.unavailable = False
+    w.run_until(lambda: job_state(w, "n0", "run-000001") == "done", 60)
 
 
 def test_a_thousand_half_requests_keep_nobody_out(tmp_path: Path) -> None:
@@ -138,7 +138,7 @@
             time.sleep(0.2)
         # Machines have reported before the crowd comes; they have to go on doing so.
         time.sleep(2)
-        assert ask("POST", "/api/jobs", job(1, hands=4, reckonS=24.0))[0] == 201
+        assert ask("POST", "/api/jobs", job_submission(1, hands=4, reckonS=24.0))[0] == 201
         for _ in range(1000):
             half = socket.create_connection(address, timeout=5)
             half.sendall(b"GET /rea")
@@ -148,7 +148,7 @@
             begun = time.monotonic()
             assert ask("GET", "/ready")[0] == 200
             if turn == 0:
-                assert ask("POST", "/api/jobs", job(2))[0] == 201
+                assert ask("POST", "/api/jobs", job_submission(2))[0] == 201
             status = ask("GET", "/api/jobs/run-000001")[1]["standing"]
             assert time.monotonic() - begun < 1.5
             time.sleep(0.6)
--- a/tests/test_largest.py
+++ b/tests/test_largest.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from sagecove.lab.deployment import job
-from sagecove.lab.world import World, standing
+from sagecove.lab.deployment import job_submission
+from sagecove.lab.world import World, job_state
 from tests.test_limits import started_task_count, team_settings
 
 START_TARGET_S = 240.0
@@ -27,14 +27,14 @@
 
 def full_gpu_world(nodes: int, machines: int, zones: str, *teams: dict[str, Any]) -> World:
     """Returns a world with a fixed number of 4-GPU machines and tasks that run as estimated."""
-    world = World(nodes=nodes, seed=nodes, teams=list(teams))
+    world = World(node_count=nodes, seed=nodes, teams=list(teams))
     world.cloud.capacity = {"small": 0, "gpu": machines}
     world.run(3)
     for n in range(machines):
-        world.cloud.start("gpu", zones[n % len(zones)], False)
+        world.cloud.start_machine("gpu", zones[n % len(zones)], False)
     world.run(5)
     for worker in world.workers.values():
-        worker.run_s = None
+        worker.task_run_s = None
     return world
 
 
@@ -45,11 +45,15 @@
     def send() -> None:
         number = 1000 + len(sent)
         sent.append(number)
-        spec = job(number, **{**GANG_FIELDS, "hands": 1, **fields})
-        world.ask(
-            f"n{number % world.nodes}", "POST", "/api/jobs", world.spec(spec), lambda s, b: None
+        spec = job_submission(number, **{**GANG_FIELDS, "hands": 1, **fields})
+        world.request_controller(
+            f"n{number % world.node_count}",
+            "POST",
+            "/api/jobs",
+            world.add_spec(spec),
+            lambda s, b: None,
         )
-        world.later(gap_s, send)
+        world.call_later(gap_s, send)
 
     send()
     return sent
@@ -66,13 +70,13 @@
     world = full_gpu_world(nodes, 2 * nodes, zones, team_settings("red", 0, 0))
     small_numbers = submit_stream(world, 24.0 / (4 * nodes) / 1.2)
     world.run(30)
-    world.submit("n0", job(1, **GANG_FIELDS, hands=4))
+    world.submit("n0", job_submission(1, **GANG_FIELDS, hands=4))
     world.run(1)
-    _, explanation = world.user("n1", "GET", "/explain/run-000001")
+    _, explanation = world.user_request("n1", "GET", "/explain/run-000001")
     assert any(
         "s what comes free in shard" in why for why in explanation["reasons"]
     ) or started_task_count(world, 1)
-    world.until(lambda: started_task_count(world, 1) == 4, START_TARGET_S)
+    world.run_until(lambda: started_task_count(world, 1) == 4, START_TARGET_S)
     begun = world.now
     world.run(60)
     # The small gangs don't starve either.
@@ -87,17 +91,17 @@
     world = full_gpu_world(nodes, 3 * nodes, "a", team_limit)
     submit_stream(world, 24.0 / 6 / 1.2)
     world.run(30)
-    world.submit("n0", job(1, **GANG_FIELDS, hands=5))
-    world.until(lambda: started_task_count(world, 1) == 5, START_TARGET_S)
+    world.submit("n0", job_submission(1, **GANG_FIELDS, hands=5))
+    world.run_until(lambda: started_task_count(world, 1) == 5, START_TARGET_S)
 
 
 def test_two_large_gangs_start_in_turn() -> None:
     world = full_gpu_world(3, 6, "a", team_settings("red", 0, 0), team_settings("blue", 0, 0))
     small_numbers = submit_stream(world, 1.8)
     world.run(30)
-    world.submit("n0", job(1, **GANG_FIELDS, hands=8))
-    world.submit("n1", job(2, **{**GANG_FIELDS, "outfit": "blue"}, hands=8))
-    world.until(
+    world.submit("n0", job_submission(1, **GANG_FIELDS, hands=8))
+    world.submit("n1", job_submission(2, **{**GANG_FIELDS, "outfit": "blue"}, hands=8))
+    world.run_until(
         lambda: started_task_count(world, 1) == 8 and started_task_count(world, 2) == 8,
         START_TARGET_S,
     )
@@ -112,11 +116,12 @@
     )
     for n in range(3):
         world.submit(
-            "n0", job(100 + n, **{**GANG_FIELDS, "shape": "sweep", "rank": "normal"}, hands=8)
+            "n0",
+            job_submission(100 + n, **{**GANG_FIELDS, "shape": "sweep", "rank": "normal"}, hands=8),
         )
-    world.submit("n1", job(1, **GANG_FIELDS, hands=4))
-    world.submit("n2", job(2, **GANG_FIELDS, hands=4))
-    world.until(
+    world.submit("n1", job_submission(1, **GANG_FIELDS, hands=4))
+    world.submit("n2", job_submission(2, **GANG_FIELDS, hands=4))
+    world.run_until(
         lambda: started_task_count(world, 1) == 4 and started_task_count(world, 2) == 4,
         START_TARGET_S,
     )
@@ -126,10 +131,10 @@
     world = full_gpu_world(3, 6, "ab", team_settings("red", 0, 0))
     small_numbers = submit_stream(world, 24.0 / 12 / 1.2)
     # Seven tasks in one zone that has room for six.
-    world.submit("n0", job(1, **GANG_FIELDS, hands=7))
+    world.submit("n0", job_submission(1, **GANG_FIELDS, hands=7))
     world.run(120)
     assert started_task_count(world, 1) == 0
-    status, explanation = world.user("n1", "GET", "/explain/run-000001")
+    status, explanation = world.user_request("n1", "GET", "/explain/run-000001")
     assert status == 200
     assert (
         "the machines there are could not hold all 7 tasks in one zone at once"
@@ -143,8 +148,8 @@
     fields = {"shape": "sweep", "rank": "normal", "samePlace": False, "vcpus": 3.0, "cards": 1}
     submit_stream(world, 0.8, **fields, hands=1)
     world.run(30)
-    world.submit("n0", job(1, **{**GANG_FIELDS, **fields}, hands=200))
-    world.until(lambda: started_task_count(world, 1) > 0, START_TARGET_S)
+    world.submit("n0", job_submission(1, **{**GANG_FIELDS, **fields}, hands=200))
+    world.run_until(lambda: started_task_count(world, 1) > 0, START_TARGET_S)
 
 
 LARGE_GANG_FIELDS = {
@@ -158,11 +163,11 @@
 
 def world_with_slow_boots(nodes: int, machine_count: int, late_boot_s: float, every: int) -> World:
     """Returns a world that rents machines for a gang; each `every`-th takes long to boot."""
-    world = World(nodes=nodes)
+    world = World(node_count=nodes)
     world.cloud.capacity = {"small": 0, "gpu": machine_count}
-    world.cloud.boots = lambda number: late_boot_s if number % every == every - 1 else 12.0
+    world.cloud.boot_s_of = lambda number: late_boot_s if number % every == every - 1 else 12.0
     world.run(3)
-    world.submit("n0", job(1, hands=4, samePlace=True, **LARGE_GANG_FIELDS))
+    world.submit("n0", job_submission(1, hands=4, samePlace=True, **LARGE_GANG_FIELDS))
     return world
 
 
@@ -174,12 +179,12 @@
     # to the end of the day, eleven minutes, while its machines were returned as idle and rented
     # again.
     world = world_with_slow_boots(nodes, 6, late_boot_s, 4)
-    world.until(lambda: world.running("run-000001") == 4, late_boot_s + 30)
+    world.run_until(lambda: world.running_task_count("run-000001") == 4, late_boot_s + 30)
     # The replacement of a machine that boots too slowly is rented in the zone of the others.
     assert len({m["range"] for m in world.cloud.machines.values()}) == 1
-    assert world.cloud.number <= 5
-    world.until(lambda: standing(world, "n0", "run-000001") == "done", 60)
-    world.until(lambda: not world.cloud.machines, 150)
+    assert world.cloud.next_number <= 5
+    world.run_until(lambda: job_state(world, "n0", "run-000001") == "done", 60)
+    world.run_until(lambda: not world.cloud.machines, 150)
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
@@ -188,7 +193,7 @@
     # The cloud has no more machines. The first ones up were returned as idle while the others
     # booted, over and over.
     world = world_with_slow_boots(nodes, 4, late_boot_s, 2)
-    world.until(lambda: world.running("run-000001") == 4, late_boot_s + 30)
-    assert world.cloud.number == 4
-    world.until(lambda: standing(world, "n0", "run-000001") == "done", 60)
-    world.until(lambda: not world.cloud.machines, 150)
+    world.run_until(lambda: world.running_task_count("run-000001") == 4, late_boot_s + 30)
+    assert world.cloud.next_number == 4
+    world.run_until(lambda: job_state(world, "n0", "run-000001") == "done", 60)
+    world.run_until(lambda: not world.cloud.machines, 150)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -11,9 +11,9 @@
 LONG = {
     "coordination.provisioner",
     "coordination.workers",
-    "lab.models",
-    "sweeps.claims",
-    "sweeps.decisions",
+    "lab.fakes",
+    "sweeps.blocks",
+    "sweeps.manager",
     "sweeps.routes",
 }
 CIRCLES = [
@@ -23,7 +23,7 @@
         for name in ("leadership", "owner", "peers", "provisioner", "request_router")
     }
     | {"coordination." + name for name in ("shards", "mirror_sync", "users", "workers")},
-    {"sweeps.claims", "sweeps.decisions", "sweeps.model", "sweeps.routes"},
+    {"sweeps.blocks", "sweeps.manager", "sweeps.model", "sweeps.routes"},
 ]
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -16,7 +16,7 @@
 from sagecove.coordination.ledger_check import ledger_differences
 from sagecove.coordination.limits.claim_totals import ClaimTotals
 from sagecove.coordination.model import JobRun, Machine, Placement, Shard
-from sagecove.lab.deployment import job
+from sagecove.lab.deployment import job_submission
 from sagecove.lab.world import World
 from sagecove.protocol import workers as worker_protocol
 from sagecove.protocol.users import Job
@@ -69,7 +69,7 @@
     @rule(tasks=st.integers(1, 5), cpus=SIZES, team=st.sampled_from(["red", "blue"]))
     def job_added(self, tasks: int, cpus: float, team: str) -> None:
         self.count += 1
-        spec = convert(job(self.count, hands=tasks, vcpus=cpus, outfit=team), Job)
+        spec = convert(job_submission(self.count, hands=tasks, vcpus=cpus, outfit=team), Job)
         run = JobRun(JobRecord(spec, 0.0), 1)
         self.owner.jobs[run.id] = run
         self.owner.backlog.reclassify(run)
@@ -201,12 +201,12 @@
 
 def world_with_two_running_tasks(run_s: float) -> World:
     """Return a world with one machine on which two tasks of one job run for `run_s` seconds."""
-    world = World(nodes=1)
-    world.cloud.start("small", "a", False)
+    world = World(node_count=1)
+    world.cloud.start_machine("small", "a", False)
     world.run(3)
-    world.workers["vm-000000"].run_s = run_s
-    world.submit("n0", job(1, hands=2))
-    world.until(lambda: world.running("run-000001") == 2, 10)
+    world.workers["vm-000000"].task_run_s = run_s
+    world.submit("n0", job_submission(1, hands=2))
+    world.run_until(lambda: world.running_task_count("run-000001") == 2, 10)
     world.run(6)
     return world
 
@@ -224,11 +224,11 @@
 
 def test_ledger_check_finds_wrong_count() -> None:
     # Guards the check itself: a count that is too large must be reported.
-    world = World(nodes=1)
-    world.cloud.start("small", "a", False)
+    world = World(node_count=1)
+    world.cloud.start_machine("small", "a", False)
     world.run(3)
-    world.submit("n0", job(1, hands=2))
-    world.until(lambda: world.running("run-000001") == 2, 10)
+    world.submit("n0", job_submission(1, hands=2))
+    world.run_until(lambda: world.running_task_count("run-000001") == 2, 10)
     owner = world.owners["n0"]
     assert ledger_differences(owner) == []
     owner.ledger.accounts["n0"].used["red"][0] += 1000
@@ -243,7 +243,7 @@
     owner.machines_by_shard["a"] = {"m": machine}
     shard = owner.held_shards["a"] = Shard("a", 1, 0.0)
     owner.ledger.open_shard(shard, [])
-    run = JobRun(JobRecord(convert(job(1, vcpus=0.1, hands=3), Job), 0.0), 1)
+    run = JobRun(JobRecord(convert(job_submission(1, vcpus=0.1, hands=3), Job), 0.0), 1)
     for number in range(3000):
         placement = Placement(run, number % 3, f"{run.id}/{number % 3}", number, machine)
         owner.ledger.add_placement(machine, placement)
@@ -260,37 +260,39 @@
     world.cloud.boot_s = 5.0
     world.run(3)
     for number in range(6):
-        world.submit(f"n{number % 3}", job(number, hands=3))
-    world.submit("n1", job(9, shape="service", hands=2, rank="production"))
-    world.until(lambda: len(world.completed) == 18, 120)
-    assert world.user("n0", "POST", "/api/jobs/run-000009/cancel")[0] == 200
-    world.until(lambda: not world.workers, 130)
-    rented = len(world.cloud.requests)
+        world.submit(f"n{number % 3}", job_submission(number, hands=3))
+    world.submit("n1", job_submission(9, shape="service", hands=2, rank="production"))
+    world.run_until(lambda: len(world.completed_tasks) == 18, 120)
+    assert world.user_request("n0", "POST", "/api/jobs/run-000009/cancel")[0] == 200
+    world.run_until(lambda: not world.workers, 130)
+    rented = len(world.cloud.machines_by_request)
     world.run(30)
-    assert len(world.cloud.requests) == rented
+    assert len(world.cloud.machines_by_request) == rented
 
 
 def test_job_submitted_while_last_machine_leaves_is_served() -> None:
     world = World()
     world.cloud.boot_s = 5.0
     world.run(3)
-    world.submit("n0", job(1, hands=2))
-    world.until(lambda: len(world.completed) == 2, 60)
-    world.until(lambda: any(m.record.leaving for m in world.owners["n0"].machines.values()), 120)
-    world.submit("n2", job(2, hands=3))
-    world.until(lambda: len(world.completed) == 5, 60)
+    world.submit("n0", job_submission(1, hands=2))
+    world.run_until(lambda: len(world.completed_tasks) == 2, 60)
+    world.run_until(
+        lambda: any(m.record.leaving for m in world.owners["n0"].machines.values()), 120
+    )
+    world.submit("n2", job_submission(2, hands=3))
+    world.run_until(lambda: len(world.completed_tasks) == 5, 60)
 
 
 def test_machine_is_kept_for_recurring_services() -> None:
-    world = World(nodes=1)
+    world = World(node_count=1)
     world.run(3)
     for number in range(5):
-        run = job(number, shape="service", rank="production")
+        run = job_submission(number, shape="service", rank="production")
         world.submit("n0", run)
-        world.until(lambda run=run: world.running(run["nameId"]) == 1, 60)
-        world.user("n0", "POST", f"/api/jobs/{run['nameId']}/cancel")
+        world.run_until(lambda run=run: world.running_task_count(run["nameId"]) == 1, 60)
+        world.user_request("n0", "POST", f"/api/jobs/{run['nameId']}/cancel")
         world.run(18)
-    assert len([m for m in world.workers.values() if not m.live()]) >= 1
+    assert len([m for m in world.workers.values() if not m.live_tasks()]) >= 1
 
 
 def test_repeated_identical_report_is_handled() -> None:
@@ -300,12 +302,12 @@
     machine = world.owners["n0"].machines["vm-000000"]
     assert machine.quiescent and machine.last_report_at > world.now - 3
     # Cut off beyond its lease, the worker comes back with the same task list in a new session.
-    worker.cut = True
+    worker.isolated = True
     world.run(16)
-    worker.cut = False
-    world.until(lambda: machine.tasks_known and machine.session == 2, 20)
-    world.until(lambda: world.running("run-000001") == 2, 30)
-    world.until(lambda: len(world.completed) == 2, 90)
+    worker.isolated = False
+    world.run_until(lambda: machine.tasks_known and machine.session == 2, 20)
+    world.run_until(lambda: world.running_task_count("run-000001") == 2, 30)
+    world.run_until(lambda: len(world.completed_tasks) == 2, 90)
 
 
 def test_hints_for_thousands_of_machines_fit_body_limit() -> None:
@@ -321,15 +323,15 @@
         machine.tasks_known = True
         owner.machines[name] = machine
     hint_sizes_bytes: list[int] = []
-    deliver = world.deliver
+    deliver = world.deliver_call
 
     def record_size(node: str, sender: Any, call: Any) -> None:
         if call.path == "/hint":
             hint_sizes_bytes.append(len(msgspec.json.encode(call.body)))
         deliver(node, sender, call)
 
-    world.deliver = record_size  # type: ignore[method-assign]
-    world.audit = False
+    world.deliver_call = record_size  # type: ignore[method-assign]
+    world.checks_ledgers = False
     world.run(8)
     assert max(hint_sizes_bytes) < 64 * 1024
     peers = world.owners["n1"].peers
--- a/tests/test_limits_machine.py
+++ b/tests/test_limits_machine.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from sagecove.lab.deployment import job
+from sagecove.lab.deployment import job_submission
 from sagecove.lab.world import World
 from tests.test_limits import GUEST_TEAM, team_settings
 
@@ -32,11 +32,11 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World(nodes=3, seed=5, teams=TEAMS)
+        self.world = World(node_count=3, seed=5, teams=TEAMS)
         self.world.cloud.capacity = {"small": 10, "gpu": 0}
         self.world.run(2)
         for number in range(10):
-            self.world.cloud.start("small", "ab"[number % 2], False)
+            self.world.cloud.start_machine("small", "ab"[number % 2], False)
         self.world.run(5)
         self.count = 0
         self.services: list[str] = []
@@ -44,10 +44,10 @@
     @rule(node=NODES, shape=st.sampled_from(SHAPES), name=st.sampled_from(["red", "blue"]))
     def submit(self, node: str, shape: dict[str, Any], name: str) -> None:
         self.count += 1
-        spec = self.world.spec(job(self.count, outfit=name, **shape))
+        spec = self.world.add_spec(job_submission(self.count, outfit=name, **shape))
         if spec["shape"] == "service":
             self.services.append(spec["nameId"])
-        self.world.ask(node, "POST", "/api/jobs", spec, lambda s, b: None)
+        self.world.request_controller(node, "POST", "/api/jobs", spec, lambda s, b: None)
 
     @rule(node=NODES)
     def kill(self, node: str) -> None:
@@ -56,17 +56,19 @@
     @rule(node=NODES)
     def boot(self, node: str) -> None:
         if node not in self.world.owners:
-            self.world.boot_node(int(node[1:]))
+            self.world.start_node(int(node[1:]))
 
     @rule(node=NODES, seconds=st.sampled_from([1.0, 5.0, 10.0]), decided=st.booleans())
     def stall(self, node: str, seconds: float, decided: bool) -> None:
         if node in self.world.owners:
-            (self.world.decided if decided else self.world.still)[node] = self.world.now + seconds
+            (self.world.output_held_until if decided else self.world.paused_until)[node] = (
+                self.world.now + seconds
+            )
 
     @rule(limit=st.sampled_from([16, 24]))
     def settings_change(self, limit: int) -> None:
         # Only controllers started from now on have the new limit; use never exceeds the larger one.
-        self.world.configured = [team_settings("red", 8, limit), *TEAMS[1:]]
+        self.world.controller_teams = [team_settings("red", 8, limit), *TEAMS[1:]]
 
     @rule(node=NODES)
     def cut_from_peers(self, node: str) -> None:
@@ -75,7 +77,7 @@
 
     @rule(node=NODES)
     def refused_by_state_service(self, node: str) -> None:
-        self.world.state.refused.add(node)
+        self.world.state.refused_nodes.add(node)
 
     @rule(verdict=st.sampled_from(["lost", "late", "unanswered"]))
     def alter_share_write_outcomes(self, verdict: str) -> None:
@@ -83,13 +85,13 @@
             writes_share = any(c.get("put", "").startswith("s/share/") for c in body["then"])
             return verdict if writes_share and self.world.random.random() < 0.7 else None
 
-        self.world.state.hook = hook
+        self.world.state.transaction_fault = hook
 
     @rule()
     def mend(self) -> None:
         self.world.cut_links.clear()
-        self.world.state.refused.clear()
-        self.world.state.hook = None
+        self.world.state.refused_nodes.clear()
+        self.world.state.transaction_fault = None
 
     @rule(seconds=st.sampled_from([0.3, 1.0, 4.0, 9.0]))
     def wait(self, seconds: float) -> None:
@@ -107,7 +109,7 @@
 
     def teardown(self) -> None:
         self.mend()
-        self.world.configured = TEAMS
+        self.world.controller_teams = TEAMS
         for number in range(3):
             self.kill(f"n{number}")
             self.boot(f"n{number}")
@@ -123,10 +125,12 @@
             assert sum(shares) == team["cpus_max"] * 1_000_000
         # The limit can be used: all tasks that end complete once the services are cancelled.
         for name in self.services:
-            self.world.ask("n0", "POST", f"/api/jobs/{name}/cancel", b"", lambda s, b: None)
+            self.world.request_controller(
+                "n0", "POST", f"/api/jobs/{name}/cancel", b"", lambda s, b: None
+            )
         accepted = [j for o in self.world.owners.values() for j in o.jobs.values() if not j.service]
         wanted = {f"{j.id}/{n}" for j in accepted for n in range(j.spec.tasks)}
-        self.world.until(lambda: wanted <= self.world.completed, 240)
+        self.world.run_until(lambda: wanted <= self.world.completed_tasks, 240)
 
 
 LimitsMachine.TestCase.settings = hypothesis_settings(
--- a/tests/test_lost_answers.py
+++ b/tests/test_lost_answers.py
@@ -7,11 +7,11 @@
 import pytest
 
 from sagecove.lab.deployment import LEASE_S
-from sagecove.lab.world import World, standing
+from sagecove.lab.world import World, job_state
 from tests.test_known import commits, persist
 from tests.test_late_writes import fresh, stopped, story
-from tests.test_sweeps import inline, view
-from tests.test_sweeps import world as sweeping
+from tests.test_sweeps import point_job, sweep_view
+from tests.test_sweeps import sweep_world as sweeping
 
 
 def lives_on(w: World, node: str) -> None:
@@ -19,26 +19,26 @@
 
 
 def stands_still(w: World, node: str) -> None:
-    w.still[node] = w.now + 0.7 * LEASE_S
+    w.paused_until[node] = w.now + 0.7 * LEASE_S
 
 
 def stands_still_for_long(w: World, node: str) -> None:
-    w.still[node] = w.now + 1.3 * LEASE_S
+    w.paused_until[node] = w.now + 1.3 * LEASE_S
 
 
 def is_back_at_once(w: World, node: str) -> None:
     w.owners.pop(node, None)
-    w.later(0.3, lambda: None if node in w.owners else w.boot_node(int(node[1:])))
+    w.call_later(0.3, lambda: None if node in w.owners else w.start_node(int(node[1:])))
 
 
 def ends(w: World, node: str) -> None:
     w.owners.pop(node, None)
-    w.later(LEASE_S, lambda: None if node in w.owners else w.boot_node(int(node[1:])))
+    w.call_later(LEASE_S, lambda: None if node in w.owners else w.start_node(int(node[1:])))
 
 
 def is_refused(w: World, node: str) -> None:
-    w.state.refused.add(node)
-    w.later(0.6 * LEASE_S, w.state.refused.clear)
+    w.state.refused_nodes.add(node)
+    w.call_later(0.6 * LEASE_S, w.state.refused_nodes.clear)
 
 
 SENDERS = [lives_on, stands_still, stands_still_for_long, is_back_at_once, ends, is_refused]
@@ -59,11 +59,11 @@
             seen[0] += 1
             if seen[0] - 1 not in ((at, at + 1) if pair else (at,)):
                 return None
-            w.later(0.0, lambda: sender(w, node))
+            w.call_later(0.0, lambda: sender(w, node))
             return "unanswered"
 
-        w.state.hook = lost
-        w.poll_all()
+        w.state.transaction_fault = lost
+        w.poll_jobs()
         story(w)
 
 
@@ -72,8 +72,10 @@
 def test_a_share_of_all_answers_is_lost(share: float, seed: int) -> None:
     w = fresh()
     w.random.seed(seed)
-    w.state.hook = lambda node, body: "unanswered" if w.random.random() < share else None
-    w.poll_all()
+    w.state.transaction_fault = lambda node, body: (
+        "unanswered" if w.random.random() < share else None
+    )
+    w.poll_jobs()
     story(w)
 
 
@@ -84,11 +86,11 @@
     """A template, a sweep of it whose points run to their end, one of two tasks a point that is
     cancelled, a point cancelled by itself; all is told alike everywhere."""
     for worker in w.workers.values():
-        worker.run_s = None
+        worker.task_run_s = None
     template = {
         "name": "tiny",
         "parameters": [{"name": "x", "kind": "whole"}],
-        "job": inline(vcpus=0.5),
+        "job": point_job(vcpus=0.5),
     }
     persist(w, "POST", "/api/templates", template)
     persist(
@@ -97,25 +99,25 @@
         "/api/sweeps",
         {"id": "run-s", "space": "x in 1..12", "template": "tiny", "version": 1},
     )
-    two = {"id": "run-t", "space": "x in 1..6", "job": inline(vcpus=0.5, hands=2, reckonS=900.0)}
+    two = {"id": "run-t", "space": "x in 1..6", "job": point_job(vcpus=0.5, hands=2, reckonS=900.0)}
     persist(w, "POST", "/api/sweeps", two)
     w.run(1.5)
     persist(w, "POST", "/api/jobs/run-t.p3/cancel")
     persist(w, "POST", "/api/sweeps/run-t/cancel")
-    w.until(lambda: sum(t.startswith("run-s.p") for t in w.completed) == 12, 120)
-    w.calm_at = w.now
+    w.run_until(lambda: sum(t.startswith("run-s.p") for t in w.completed_tasks) == 12, 120)
+    w.faults_over_at = w.now
     for node in sorted(w.owners):
-        w.until(lambda node=node: view(w, "run-s", node)["state"] == "done", 60)
-        w.until(lambda node=node: view(w, "run-t", node)["state"] == "aborted", 60)
-        w.until(lambda node=node: standing(w, node, "run-s.p5") == "done", 30)
-        w.until(lambda node=node: standing(w, node, "run-t.p3") == "aborted", 30)
+        w.run_until(lambda node=node: sweep_view(w, "run-s", node)["state"] == "done", 60)
+        w.run_until(lambda node=node: sweep_view(w, "run-t", node)["state"] == "aborted", 60)
+        w.run_until(lambda node=node: job_state(w, node, "run-s.p5") == "done", 30)
+        w.run_until(lambda node=node: job_state(w, node, "run-t.p3") == "aborted", 30)
     w.run(14)
     for node in sorted(w.owners):
-        assert view(w, "run-s", node)["done"] == 12
-        assert view(w, "run-t", node)["state"] == "aborted"
+        assert sweep_view(w, "run-s", node)["done"] == 12
+        assert sweep_view(w, "run-t", node)["state"] == "aborted"
     left = ("s/job/", "s/sweep", "s/points", "s/swept")
-    w.until(lambda: not [key for key in w.state.keys if key.startswith(left)], 30)
-    once = [task for _, task, _ in w.starts if task.startswith("run-s.p")]
+    w.run_until(lambda: not [key for key in w.state.keys if key.startswith(left)], 30)
+    once = [task for _, task, _ in w.task_starts if task.startswith("run-s.p")]
     assert set(once) == {f"run-s.p{k}/0" for k in range(12)}
 
 
@@ -133,10 +135,10 @@
             seen[0] += 1
             if seen[0] - 1 != at:
                 return None
-            w.later(0.0, lambda: sender(w, node))
+            w.call_later(0.0, lambda: sender(w, node))
             return verdict
 
-        w.state.hook = astray
+        w.state.transaction_fault = astray
         sweep_story(w)
 
 
@@ -144,7 +146,9 @@
 @pytest.mark.parametrize("verdicts", [["unanswered"], ["late"], ["unanswered", "late", "lost"]])
 def test_half_of_all_transactions_of_sweeps_go_astray(verdicts: list[str], seed: int) -> None:
     w = sweeping(seed=seed + 1)
-    w.state.hook = lambda node, body: w.random.choice([*verdicts, *[None] * len(verdicts)])
+    w.state.transaction_fault = lambda node, body: w.random.choice(
+        [*verdicts, *[None] * len(verdicts)]
+    )
     sweep_story(w)
 
 
@@ -156,13 +160,13 @@
     owner = w.owners[name]
     reads = owner.sync.sync_if_due, owner.sync.watch
     owner.sync.sync_if_due = owner.sync.watch = lambda now: None  # type: ignore[method-assign]
-    w.state.watches = [watch for watch in w.state.watches if watch[0] != name]
+    w.state.open_watches = [watch for watch in w.state.open_watches if watch[0] != name]
     owner.sync.watching = False
 
     def sees() -> None:
         owner.sync.sync_if_due, owner.sync.watch = reads  # type: ignore[method-assign]
 
-    w.later(seconds, sees)
+    w.call_later(seconds, sees)
 
 
 @pytest.mark.parametrize("blind_s", [0.0, 1.0, 3.0, 5.0])
@@ -179,9 +183,9 @@
         run.hold_until = 0.0
         return "unanswered"
 
-    w.state.hook = hook
+    w.state.transaction_fault = hook
     if blind_s:
         blind(w, name, blind_s)
     owner.scheduling_pass.releaser.release(w.now, run, shard)
     w.run(25)
-    assert lost == [name] and w.running("run-000001") == 4
+    assert lost == [name] and w.running_task_count("run-000001") == 4
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from sagecove.lab.deployment import CANCEL_S, LEASE_S, REPORT_S, job
-from sagecove.lab.models import FakeWorker
-from sagecove.lab.world import World, standing
+from sagecove.lab.deployment import CANCEL_S, LEASE_S, REPORT_S, job_submission
+from sagecove.lab.fakes import FakeWorker
+from sagecove.lab.world import World, job_state
 from tests.test_known import persist
 from tests.test_refused_leader import node_with_most_tasks, use_deployment_timing
 
@@ -18,19 +18,21 @@
 
 def world(copies: list[float], nodes: int = 3) -> World:
     """Each machine with tasks of a service that stays and of one that is to be cancelled."""
-    w = World(nodes=nodes)
+    w = World(node_count=nodes)
     w.cloud.capacity = {"small": 3 * nodes, "gpu": 0}
     for i in range(3 * nodes):
-        w.cloud.start("small", "ab"[i % 2], False)
+        w.cloud.start_machine("small", "ab"[i % 2], False)
     w.run(3)
     for name in w.workers:
-        w.copies[name] = copies
+        w.report_copy_delays_s[name] = copies
     for n in (1, 2):
-        spec = job(n, shape="service", hands=2 * nodes, vcpus=1.0, memoryGb=2.0, rank="urgent")
+        spec = job_submission(
+            n, shape="service", hands=2 * nodes, vcpus=1.0, memoryGb=2.0, rank="urgent"
+        )
         w.submit("n0", spec)
-    w.until(lambda: w.running(LONG) == w.running(DOOMED) == 2 * nodes, 90)
+    w.run_until(lambda: w.running_task_count(LONG) == w.running_task_count(DOOMED) == 2 * nodes, 90)
     w.run(3)
-    w.poll_all()
+    w.poll_jobs()
     return w
 
 
@@ -47,21 +49,21 @@
 def settle(w: World, seconds: float = 3 * LEASE_S) -> None:
     """All troubles are over: all is known, what is wanted runs, what was cancelled does not."""
     w.cut_links.clear()
-    w.unreached.clear()
-    w.state.refused.clear()
-    w.state.slow_s = 0.0
-    w.state.hook = None
-    w.state.outage(False)
+    w.receive_blocked_machines.clear()
+    w.state.refused_nodes.clear()
+    w.state.answer_delay_s = 0.0
+    w.state.transaction_fault = None
+    w.state.set_outage(False)
     for worker in w.workers.values():
-        worker.cut = worker.cut_direct = False
-    for n in range(w.nodes):
+        worker.isolated = worker.direct_commands_blocked = False
+    for n in range(w.node_count):
         if f"n{n}" not in w.owners:
-            w.boot_node(n)
-    w.calm_at = w.now
+            w.start_node(n)
+    w.faults_over_at = w.now
     w.run(seconds)
-    w.until(lambda: w.running(LONG) == w.specs[LONG]["hands"], 4 * LEASE_S)
-    if w.told[DOOMED] == "aborted":
-        assert w.running(DOOMED) == 0
+    w.run_until(lambda: w.running_task_count(LONG) == w.specs[LONG]["hands"], 4 * LEASE_S)
+    if w.reported_states[DOOMED] == "aborted":
+        assert w.running_task_count(DOOMED) == 0
     acting = [s for o in w.owners.values() for s in o.shards.active_shards(w.now)]
     assert sorted(acting) == sorted(w.owners)
 
@@ -78,14 +80,14 @@
 ) -> None:
     w = world(COPIES[copies], nodes)
     lead = node_with_most_tasks(w, DOOMED)
-    w.alone(lead, refusing)
+    w.isolate_node(lead, refusing)
     w.run(cancel_at)
     persist_at(w, others(w, lead)[0])
     for _ in range(int(1.2 * CANCEL_S / 4)):
         w.run(4)
         # What it tells is no older than what the other told, or nothing.
-        assert standing(w, lead, DOOMED) in ("503", "aborted")
-    assert w.running(DOOMED) == 0 and w.running(LONG) == 2 * nodes
+        assert job_state(w, lead, DOOMED) in ("503", "aborted")
+    assert w.running_task_count(DOOMED) == 0 and w.running_task_count(LONG) == 2 * nodes
     settle(w)
 
 
@@ -97,18 +99,21 @@
 ) -> None:
     use_deployment_timing(monkeypatch, "annex")
     w = world([])
-    starts = len(w.starts)
+    starts = len(w.task_starts)
     for name in alone:
-        w.alone(name, refusing)
+        w.isolate_node(name, refusing)
     w.run(seconds)
     settle(w)
-    assert w.running(LONG) == w.running(DOOMED) == 6 and len(w.starts) == starts
+    assert (
+        w.running_task_count(LONG) == w.running_task_count(DOOMED) == 6
+        and len(w.task_starts) == starts
+    )
     assert all(worker.session == 1 for worker in w.workers.values())
 
 
 def persist_at(w: World, node: str, name: str = DOOMED) -> None:
     begun = w.now
-    while w.user(node, "POST", f"/api/jobs/{name}/cancel")[0] != 200:
+    while w.user_request(node, "POST", f"/api/jobs/{name}/cancel")[0] != 200:
         assert w.now - begun < 75
         w.run(0.5)
 
@@ -124,17 +129,19 @@
 ) -> None:
     w = world(COPIES[copies])
     lead = node_with_most_tasks(w, DOOMED)
-    w.state.slow_s = slow_s
+    w.state.answer_delay_s = slow_s
     for node in others(w, lead):
-        w.ask(node, "POST", f"/api/jobs/{DOOMED}/cancel", b"", lambda status, body: None)
+        w.request_controller(
+            node, "POST", f"/api/jobs/{DOOMED}/cancel", b"", lambda status, body: None
+        )
     w.run(0.5)
     for node in sorted(w.owners):
-        w.user(node, "GET", f"/api/jobs/{DOOMED}")
-    w.state.refused.add(lead)
+        w.user_request(node, "GET", f"/api/jobs/{DOOMED}")
+    w.state.refused_nodes.add(lead)
     for node in others(w, lead):
-        w.user(node, "POST", f"/api/jobs/{DOOMED}/cancel")
+        w.user_request(node, "POST", f"/api/jobs/{DOOMED}/cancel")
     if then_down:
-        w.state.outage(True)
+        w.state.set_outage(True)
     w.run(1.3 * CANCEL_S)
     settle(w)
     persist_at(w, lead)
@@ -144,7 +151,7 @@
 def test_leases_and_reads_are_believed_no_longer_than_they_last(slow_s: float) -> None:
     # Dated from when its renewal was sent: the answer may have taken all this time.
     w = world([])
-    w.state.slow_s = slow_s
+    w.state.answer_delay_s = slow_s
     for _ in range(100):
         w.state.commit({"if": [], "then": [{"put": "s/note", "v": {}}]})
         changed, at = w.state.ledger, w.now
@@ -165,26 +172,26 @@
 
 
 def holder_restarts(w: World, lead: str) -> None:
-    w.kill(lead)
+    w.kill_node(lead)
     w.run(0.3)
-    w.boot_node(int(lead[1:]))
+    w.start_node(int(lead[1:]))
 
 
 def holder_ends(w: World, lead: str) -> None:
-    w.kill(lead)
+    w.kill_node(lead)
 
 
 def sessions_end(w: World, lead: str) -> None:
     for worker in mine(w, lead):
-        worker.cut = True
+        worker.isolated = True
     w.run(1.2 * LEASE_S)
     for worker in mine(w, lead):
-        worker.cut = False
+        worker.isolated = False
 
 
 def nobody_is_served(w: World, lead: str) -> None:
     cancelled(w, lead)
-    w.state.outage(True)
+    w.state.set_outage(True)
 
 
 @pytest.mark.parametrize("copies", COPIES)
@@ -199,18 +206,18 @@
     lead = node_with_most_tasks(w, DOOMED)
     held = mine(w, lead)
     for worker in held:
-        worker.cut_direct = True
+        worker.direct_commands_blocked = True
     # Launches for what comes, halts for what is cancelled, reaps for what is done.
-    w.submit(lead, job(3, hands=3, vcpus=0.5, memoryGb=1.0))
+    w.submit(lead, job_submission(3, hands=3, vcpus=0.5, memoryGb=1.0))
     w.run(0.5)
     event(w, lead)
     w.run(held_s)
     for worker in held:
-        worker.go_on()
+        worker.reconnect()
     w.run(3)
     settle(w)
-    w.until(lambda: standing(w, "n0", "run-000003") == "done", 75)
-    assert len({t for _, t, _ in w.starts if t.startswith("run-000003")}) == 3
+    w.run_until(lambda: job_state(w, "n0", "run-000003") == "done", 75)
+    assert len({t for _, t, _ in w.task_starts if t.startswith("run-000003")}) == 3
 
 
 # -- all end, some return ------------------------------------------------------------------------
@@ -224,25 +231,25 @@
     lead_back: bool, back_s: float, apart_s: float, copies: str
 ) -> None:
     w = world(COPIES[copies])
-    w.refuses = True
+    w.dead_nodes_refuse = True
     lead = node_with_most_tasks(w, DOOMED)
     order = [lead, *others(w, lead)]
     for node in order:
-        w.kill(node)
+        w.kill_node(node)
         w.run(apart_s)
     first = order[0] if lead_back else order[-1]
     w.run(back_s)
-    w.boot_node(int(first[1:]))
+    w.start_node(int(first[1:]))
     w.run(4.0)
     persist(w, "POST", f"/api/jobs/{DOOMED}/cancel")
     w.run(4.0)
     for node in order:
         if node not in w.owners:
-            w.boot_node(int(node[1:]))
+            w.start_node(int(node[1:]))
             w.run(back_s)
     # In the middle of handing back they end once more.
     w.run(1.0)
-    w.kill(first)
+    w.kill_node(first)
     w.run(back_s)
     settle(w)
 
@@ -261,17 +268,17 @@
     far = mine(w, lead)[:2]
     for worker in far:
         if how == "deaf":
-            w.unreached.add(worker.name)
+            w.receive_blocked_machines.add(worker.name)
         else:
-            worker.cut, worker.cut_direct = how == "cut", True
+            worker.isolated, worker.direct_commands_blocked = how == "cut", True
     w.run(1.0)
-    w.kill(lead)
+    w.kill_node(lead)
     w.run(seconds)
     # Room elsewhere for what is provably gone; none begins twice (World.started).
     w.cloud.capacity["small"] = 12
     for worker in far:
-        worker.go_on()
-    w.unreached.clear()
+        worker.reconnect()
+    w.receive_blocked_machines.clear()
     w.run(2 * REPORT_S)
     settle(w)
 
@@ -280,19 +287,19 @@
 
 
 def ends(w: World, lead: str) -> None:
-    w.kill(lead)
+    w.kill_node(lead)
 
 
 def stands_still(w: World, lead: str) -> None:
-    w.still[lead] = w.now + 9.0
+    w.paused_until[lead] = w.now + 9.0
 
 
 def is_refused(w: World, lead: str) -> None:
-    w.state.refused.add(lead)
+    w.state.refused_nodes.add(lead)
 
 
 def writes_go_astray(w: World, lead: str) -> None:
-    w.state.hook = lambda node, body: "late" if w.random.random() < 0.6 else None
+    w.state.transaction_fault = lambda node, body: "late" if w.random.random() < 0.6 else None
 
 
 @pytest.mark.parametrize("copies", COPIES)
@@ -304,24 +311,24 @@
 ) -> None:
     w = world(COPIES[copies])
     for n, worker in enumerate(w.workers.values()):
-        worker.run_s = 2.0 + 4.0 * (n % 3)
+        worker.task_run_s = 2.0 + 4.0 * (n % 3)
     spec: dict[str, Any] = {"hands": hands, "vcpus": 0.5, "memoryGb": 1.0}
-    w.submit("n0", job(3, **spec))
-    w.until(lambda: w.running("run-000003") == hands, 30)
+    w.submit("n0", job_submission(3, **spec))
+    w.run_until(lambda: w.running_task_count("run-000003") == hands, 30)
     lead = node_with_most_tasks(w, "run-000003")
     w.run(at)
     change(w, lead)
-    w.until(lambda: len(w.completed) == hands, 60)
+    w.run_until(lambda: len(w.completed_tasks) == hands, 60)
     # No task whose machine lived on began again.
-    tasks = [t for _, t, _ in w.starts if t.startswith("run-000003")]
+    tasks = [t for _, t, _ in w.task_starts if t.startswith("run-000003")]
     assert len(tasks) == len(set(tasks)) == hands
     # Told by whoever is served: at once if the writes go through, soon after a takeover.
-    w.until(
-        lambda: any(standing(w, n, "run-000003") == "done" for n in sorted(w.owners)),
+    w.run_until(
+        lambda: any(job_state(w, n, "run-000003") == "done" for n in sorted(w.owners)),
         75,
     )
     settle(w)
     for node in w.owners:
-        assert standing(w, node, "run-000003") == "done"
-    tasks = [t for _, t, _ in w.starts if t.startswith("run-000003")]
+        assert job_state(w, node, "run-000003") == "done"
+    tasks = [t for _, t, _ in w.task_starts if t.startswith("run-000003")]
     assert len(tasks) == hands
--- a/tests/test_old_reports.py
+++ b/tests/test_old_reports.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from sagecove.lab.deployment import LEASE_S, REPORT_S, job
+from sagecove.lab.deployment import LEASE_S, REPORT_S, job_submission
 from sagecove.lab.world import World
 from tests.test_meetings import DOOMED, LONG, mine, others, settle, world
 from tests.test_refused_leader import node_with_most_tasks
@@ -22,23 +22,23 @@
         acting = {n: o.shards.active_shards(cluster.now) for n, o in cluster.owners.items()}
         return next((n for n, shards in acting.items() if leader in shards and n != leader), None)
 
-    cluster.until(lambda: new_leader() is not None, 4 * LEASE_S)
+    cluster.run_until(lambda: new_leader() is not None, 4 * LEASE_S)
     found = new_leader()
     assert found is not None
     return found
 
 
 def leader_is_killed(cluster: World, leader: str) -> None:
-    cluster.kill(leader)
+    cluster.kill_node(leader)
 
 
 def leader_is_isolated(cluster: World, leader: str) -> None:
-    cluster.alone(leader, False)
+    cluster.isolate_node(leader, False)
 
 
 def leader_restarts_at_once(cluster: World, leader: str) -> None:
-    cluster.kill(leader)
-    cluster.later(0.2, lambda: cluster.boot_node(int(leader[1:])))
+    cluster.kill_node(leader)
+    cluster.call_later(0.2, lambda: cluster.start_node(int(leader[1:])))
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
@@ -51,11 +51,11 @@
     cluster = world([], nodes)
     leader = node_with_most_tasks(cluster, DOOMED)
     for worker in mine(cluster, leader):
-        cluster.overheard[worker.name] = []
+        cluster.recorded_reports[worker.name] = []
     cluster.run(4 * REPORT_S)
     # Two of its machines lose power and all their tasks.
     dead = [worker for worker in mine(cluster, leader) if worker.tasks][:2]
-    cluster.user(others(cluster, leader)[0], "POST", f"/api/jobs/{DOOMED}/cancel")
+    cluster.user_request(others(cluster, leader)[0], "POST", f"/api/jobs/{DOOMED}/cancel")
     cluster.run(0.5)
     for worker in dead:
         worker.dead, worker.tasks = True, {}
@@ -64,7 +64,7 @@
     if change is not leader_restarts_at_once:
         wait_for_takeover(cluster, leader)
     else:
-        cluster.until(
+        cluster.run_until(
             lambda: (
                 leader in cluster.owners
                 and leader in cluster.owners[leader].shards.active_shards(cluster.now)
@@ -80,12 +80,14 @@
         "all": lambda reports: reports,
     }[which]
     old_reports = [
-        report for reports in cluster.overheard.values() for report in select_reports(reports)
+        report
+        for reports in cluster.recorded_reports.values()
+        for report in select_reports(reports)
     ]
-    cluster.overheard.clear()
+    cluster.recorded_reports.clear()
     assert old_reports
     for report in old_reports:
-        cluster.again(report, sorted(cluster.owners))
+        cluster.replay_report(report, sorted(cluster.owners))
     cluster.run(0.6)
     for owner in cluster.owners.values():
         for worker in dead:
@@ -97,7 +99,7 @@
                 assert not machine.tasks_known
     # Their tasks start elsewhere as soon as without old reports.
     cluster.cloud.capacity["small"] = 3 * nodes + 2
-    cluster.until(lambda: cluster.running(LONG) == 2 * nodes, 4 * LEASE_S)
+    cluster.run_until(lambda: cluster.running_task_count(LONG) == 2 * nodes, 4 * LEASE_S)
     assert cluster.now - sent_at < 3 * LEASE_S
     settle(cluster)
 
@@ -109,24 +111,24 @@
     cluster = world([], nodes)
     leader = node_with_most_tasks(cluster, LONG)
     for worker in mine(cluster, leader):
-        cluster.overheard[worker.name] = []
+        cluster.recorded_reports[worker.name] = []
     cluster.run(3 * REPORT_S)
-    old_reports = [reports[-1] for reports in cluster.overheard.values() if reports]
-    cluster.overheard.clear()
-    cluster.kill(leader)
+    old_reports = [reports[-1] for reports in cluster.recorded_reports.values() if reports]
+    cluster.recorded_reports.clear()
+    cluster.kill_node(leader)
     new_leader = wait_for_takeover(cluster, leader)
     cluster.run(2 * REPORT_S)
-    cluster.user(new_leader, "POST", f"/api/jobs/{DOOMED}/cancel")
-    cluster.submit(new_leader, job(3, hands=4, vcpus=0.5, memoryGb=0.5))
+    cluster.user_request(new_leader, "POST", f"/api/jobs/{DOOMED}/cancel")
+    cluster.submit(new_leader, job_submission(3, hands=4, vcpus=0.5, memoryGb=0.5))
     cluster.run(1.0 + hold_s)
-    starts = len(cluster.starts)
+    starts = len(cluster.task_starts)
     for report in old_reports:
-        cluster.again(report, [new_leader])
+        cluster.replay_report(report, [new_leader])
         cluster.run(0.05)
     cluster.run(LEASE_S)
     # Running tasks go on where they are, and the cancelled job is not taken for running.
-    assert cluster.running(LONG) == 2 * nodes
-    assert [t for _, t, _ in cluster.starts[starts:] if t.startswith((LONG, DOOMED))] == []
+    assert cluster.running_task_count(LONG) == 2 * nodes
+    assert [t for _, t, _ in cluster.task_starts[starts:] if t.startswith((LONG, DOOMED))] == []
     assert not any(o.jobs.get(DOOMED) for o in cluster.owners.values())
     settle(cluster)
 
@@ -137,19 +139,19 @@
     cluster = world([])
     leader = node_with_most_tasks(cluster, LONG)
     victim = next(worker for worker in mine(cluster, leader) if worker.tasks)
-    cluster.overheard[victim.name] = []
+    cluster.recorded_reports[victim.name] = []
     cluster.run(3 * REPORT_S)
-    report = cluster.overheard.pop(victim.name)[-1]
+    report = cluster.recorded_reports.pop(victim.name)[-1]
     victim.dead, victim.tasks = True, {}
     cluster.cloud.capacity["small"] = 10
 
     def again() -> None:
-        cluster.again(report, sorted(cluster.owners))
-        cluster.later(0.4, again)
+        cluster.replay_report(report, sorted(cluster.owners))
+        cluster.call_later(0.4, again)
 
     again()
-    cluster.until(lambda: cluster.running(LONG) == 6, 3 * LEASE_S)
-    cluster.until(lambda: victim.name in cluster.cloud.deleted, 5 * LEASE_S)
+    cluster.run_until(lambda: cluster.running_task_count(LONG) == 6, 3 * LEASE_S)
+    cluster.run_until(lambda: victim.name in cluster.cloud.deleted_names, 5 * LEASE_S)
     cluster.run(LEASE_S)
     assert all(victim.name not in o.machines for o in cluster.owners.values())
 
@@ -158,20 +160,20 @@
     # A restarted controller doesn't remember that the machine was deleted, and asks it.
     cluster = world([])
     victim = next(worker for worker in cluster.workers.values() if worker.tasks)
-    cluster.overheard[victim.name] = []
+    cluster.recorded_reports[victim.name] = []
     cluster.run(3 * REPORT_S)
-    reports = cluster.overheard.pop(victim.name)
+    reports = cluster.recorded_reports.pop(victim.name)
     victim.dead, victim.tasks = True, {}
     cluster.cloud.capacity["small"] = 10
-    cluster.until(lambda: victim.name in cluster.cloud.deleted, 8 * LEASE_S)
-    cluster.until(lambda: f"s/machine/{victim.name}" not in cluster.state.keys, 30)
+    cluster.run_until(lambda: victim.name in cluster.cloud.deleted_names, 8 * LEASE_S)
+    cluster.run_until(lambda: f"s/machine/{victim.name}" not in cluster.state.keys, 30)
     cluster.workers[victim.name] = victim
     for n in range(3):
-        cluster.kill(f"n{n}")
-        cluster.boot_node(n)
+        cluster.kill_node(f"n{n}")
+        cluster.start_node(n)
     for _ in range(40):
         cluster.run(0.25)
         for report in reports:
-            cluster.again(report, sorted(cluster.owners))
+            cluster.replay_report(report, sorted(cluster.owners))
         assert f"s/machine/{victim.name}" not in cluster.state.keys
     assert all(victim.name not in o.machines for o in cluster.owners.values())
--- a/tests/test_one_task.py
+++ b/tests/test_one_task.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from sagecove.lab.deployment import LEASE_S, job
+from sagecove.lab.deployment import LEASE_S, job_submission
 from sagecove.lab.world import World
 
 # Puts and deletes per second that the state service accepts, as in the tightest known deployment.
@@ -56,8 +56,10 @@
         self.completed_at: dict[str, float] = {}
         self.finished: set[str] = set()
         for n in range(jobs):
-            spec = world.spec(job(100 + n, vcpus=0.5, memoryGb=0.5, reckonS=6.0))
-            world.later(n / SUBMISSIONS_PER_S, lambda spec=spec, n=n: self.submit(spec, n % 4 == 1))
+            spec = world.add_spec(job_submission(100 + n, vcpus=0.5, memoryGb=0.5, reckonS=6.0))
+            world.call_later(
+                n / SUBMISSIONS_PER_S, lambda spec=spec, n=n: self.submit(spec, n % 4 == 1)
+            )
 
     def submit(self, spec: dict[str, Any], to_cancel: bool) -> None:
         submitted_at, name = self.world.now, spec["nameId"]
@@ -65,23 +67,25 @@
         def accepted(state: str) -> None:
             self.accepted_after.append(self.world.now - submitted_at)
             if to_cancel:
-                self.world.later(1.0 + self.world.random.random() * 3, lambda: self.cancel(name))
+                self.world.call_later(
+                    1.0 + self.world.random.random() * 3, lambda: self.cancel(name)
+                )
             else:
-                self.world.later(1.0, lambda: self.poll(name))
+                self.world.call_later(1.0, lambda: self.poll(name))
 
         self.ask("POST", "/api/jobs", spec, accepted, lambda: self.submit_again(spec, accepted))
 
     def submit_again(self, spec: dict[str, Any], accepted: Any) -> None:
         retry = lambda: self.submit_again(spec, accepted)  # noqa: E731
-        self.world.later(1.0, lambda: self.ask("POST", "/api/jobs", spec, accepted, retry))
+        self.world.call_later(1.0, lambda: self.ask("POST", "/api/jobs", spec, accepted, retry))
 
     def cancel(self, name: str) -> None:
-        retry = lambda: self.world.later(1.0, lambda: self.cancel(name))  # noqa: E731
+        retry = lambda: self.world.call_later(1.0, lambda: self.cancel(name))  # noqa: E731
         finished = lambda state: self.finished.add(name)  # noqa: E731
         self.ask("POST", f"/api/jobs/{name}/cancel", b"", finished, retry)
 
     def poll(self, name: str) -> None:
-        if name + "/0" in self.world.completed:
+        if name + "/0" in self.world.completed_tasks:
             self.completed_at.setdefault(name, self.world.now)
 
         def told(state: str) -> None:
@@ -91,7 +95,7 @@
                     self.world.now - self.completed_at.get(name, self.world.now)
                 )
             else:
-                self.world.later(0.5, lambda: self.poll(name))
+                self.world.call_later(0.5, lambda: self.poll(name))
 
         self.ask("GET", f"/api/jobs/{name}", b"", told, lambda: told(""))
 
@@ -103,43 +107,43 @@
             if answers:
                 return
             answers.append(status or 0)
-            told = self.world.heard(path, body, status, raw)
+            told = self.world.check_user_answer(path, body, status, raw)
             on_success(told["standing"]) if status in (200, 201) else on_failure()
 
-        self.world.ask(
+        self.world.request_controller(
             self.world.random.choice(sorted(self.world.owners)), method, path, body, answer
         )
-        self.world.later(5.0 if method == "POST" else 2.0, lambda: answer(None, b""))
+        self.world.call_later(5.0 if method == "POST" else 2.0, lambda: answer(None, b""))
 
 
 def disturb(world: World, what: str) -> None:
     if what == "ends":
-        world.kill("n1")
-        world.later(LEASE_S, lambda: world.boot_node(1))
+        world.kill_node("n1")
+        world.call_later(LEASE_S, lambda: world.start_node(1))
     elif what == "refused":
-        world.state.refused.add("n1")
-        world.later(LEASE_S, world.state.refused.clear)
+        world.state.refused_nodes.add("n1")
+        world.call_later(LEASE_S, world.state.refused_nodes.clear)
 
 
 @pytest.mark.parametrize("what", ["nothing", "ends", "refused"])
 def test_four_one_task_jobs_per_second(what: str) -> None:
-    world = World(audit=False)
+    world = World(checks_ledgers=False)
     world.cloud.capacity = {"small": 18, "gpu": 0}
     for i in range(18):
-        world.cloud.start("small", "ab"[i % 2], False)
+        world.cloud.start_machine("small", "ab"[i % 2], False)
     world.run(3)
     for worker in world.workers.values():
-        worker.run_s = None
-    world.submit("n0", job(1, shape="service", hands=6, rank="production", vcpus=1.0))
-    world.until(lambda: world.running(SERVICE_JOB) == 6, 30)
-    writes = world.state.hook = WriteLimit(world)
+        worker.task_run_s = None
+    world.submit("n0", job_submission(1, shape="service", hands=6, rank="production", vcpus=1.0))
+    world.run_until(lambda: world.running_task_count(SERVICE_JOB) == 6, 30)
+    writes = world.state.transaction_fault = WriteLimit(world)
     jobs = 300
     users = SimulatedUsers(world, jobs)
     world.run(30)
     disturb(world, what)
     world.run(jobs / SUBMISSIONS_PER_S - 30)
-    world.calm_at = world.now
-    world.until(lambda: len(users.finished) == jobs, 60)
+    world.faults_over_at = world.now
+    world.run_until(lambda: len(users.finished) == jobs, 60)
     world.run(20)
     accept_delays = sorted(users.accepted_after)
     told_delays = sorted(users.done_told_after)
@@ -158,11 +162,11 @@
     assert job_write_count <= (3.1 if what == "nothing" else 4.0) * jobs, writes.count_by_prefix
     assert writes.write_count <= (3.4 if what == "nothing" else 6.0) * jobs, writes.count_by_prefix
     # Other work is not starved, nothing remains, and what is remembered is bounded.
-    assert world.running(SERVICE_JOB) == 6
+    assert world.running_task_count(SERVICE_JOB) == 6
     assert [k for k in world.state.keys if k.startswith("s/job/")] == [f"s/job/{SERVICE_JOB}"]
     for owner in world.owners.values():
         assert list(owner.jobs) == [SERVICE_JOB]
         assert len(owner.cancellations.confirmed) <= 300 and not owner.users.waiting_requests
         assert not owner.users.open_reads and not owner.users.queued_reads
     # Hardly any cancelled job started after its user was told.
-    assert all(after < 2.0 for _, after in world.late_starts), world.late_starts
+    assert all(after < 2.0 for _, after in world.starts_after_cancel), world.starts_after_cancel
