--- a/tests/test_refused_leader.py
+++ b/tests/test_refused_leader.py
@@ -13,11 +13,11 @@
 
 from models.cancellations import InvariantViolation, Mistake, Model
 from sagecove.coordination.effects import IncomingRequest, Reply
-from sagecove.lab import deployment, models, rules
-from sagecove.lab.deployment import CANCEL_S, LEASE_S, job, settings
+from sagecove.lab import deployment, fakes, rule_checker
+from sagecove.lab.deployment import CANCEL_S, LEASE_S, controller_settings, job_submission
 from sagecove.lab.world import World
 from sagecove.protocol.peers import Hint, Promise
-from tests.test_sweeps import ON, submit
+from tests.test_sweeps import SWEEPS_ENABLED, submit_sweep
 
 CANCELLED_JOB = "run-000001"
 KEPT_JOB = "run-000002"
@@ -30,18 +30,20 @@
 
 def create_world(nodes: int = 3, features: Any = None, **cancelled_spec: Any) -> World:
     """Create machines that run tasks of a job to be cancelled and of a service that is kept."""
-    world = World(nodes=nodes, features=features)
+    world = World(node_count=nodes, features=features)
     world.cloud.capacity = {"small": 3 * nodes, "gpu": 0}
     for i in range(3 * nodes):
-        world.cloud.start("small", "ab"[i % 2], False)
+        world.cloud.start_machine("small", "ab"[i % 2], False)
     world.run(3)
     for worker in world.workers.values():
-        worker.run_s = 1000.0
+        worker.task_run_s = 1000.0
     small = {"vcpus": 1.0, "memoryGb": 2.0, "reckonS": 900.0}
-    world.submit("n0", job(1, **{"hands": 2 * nodes, **small, **cancelled_spec}))
-    world.submit("n0", job(2, shape="service", hands=2 * nodes, rank="urgent", **small))
-    world.until(lambda: world.running(CANCELLED_JOB) == world.specs[CANCELLED_JOB]["hands"], 90)
-    world.until(lambda: world.running(KEPT_JOB) == 2 * nodes, 60)
+    world.submit("n0", job_submission(1, **{"hands": 2 * nodes, **small, **cancelled_spec}))
+    world.submit("n0", job_submission(2, shape="service", hands=2 * nodes, rank="urgent", **small))
+    world.run_until(
+        lambda: world.running_task_count(CANCELLED_JOB) == world.specs[CANCELLED_JOB]["hands"], 90
+    )
+    world.run_until(lambda: world.running_task_count(KEPT_JOB) == 2 * nodes, 60)
     world.run(3)
     return world
 
@@ -49,13 +51,13 @@
 def cancel_until_confirmed(world: World, node: str) -> None:
     """Repeat the cancel request, as users do, until it is confirmed."""
     started_at = world.now
-    while world.user(node, "POST", f"/api/jobs/{CANCELLED_JOB}/cancel")[0] != 200:
+    while world.user_request(node, "POST", f"/api/jobs/{CANCELLED_JOB}/cancel")[0] != 200:
         assert world.now - started_at < 6
         world.run(0.2)
 
 
 def cancel_at_one_controller(world: World, leader: str, others: list[str]) -> None:
-    world.state.refused.add(leader)
+    world.state.refused_nodes.add(leader)
     world.run(0.3)
     cancel_until_confirmed(world, others[0])
 
@@ -63,14 +65,16 @@
 def cancel_with_lost_answer(world: World, leader: str, others: list[str]) -> None:
     # The controller that made the transaction gets no answer. Another one reads the result and
     # confirms it to the user.
-    world.state.refused.add(leader)
+    world.state.refused_nodes.add(leader)
     world.run(0.3)
-    world.state.hook = lambda node, body: "unanswered" if "o/" in json.dumps(body) else None
-    world.ask(
+    world.state.transaction_fault = lambda node, body: (
+        "unanswered" if "o/" in json.dumps(body) else None
+    )
+    world.request_controller(
         others[0], "POST", f"/api/jobs/{CANCELLED_JOB}/cancel", b"", lambda status, body: None
     )
     world.run(0.1)
-    world.state.hook = None
+    world.state.transaction_fault = None
     cancel_until_confirmed(world, others[-1])
 
 
@@ -78,18 +82,21 @@
     def delay_write(node: str, body: dict[str, Any]) -> str | None:
         if not any(CANCELLED_JOB in change.get("drop", "") for change in body["then"]):
             return None
-        world.later(2.2, lambda: (world.state.commit(body), None)[1])
+        world.call_later(2.2, lambda: (world.state.commit(body), None)[1])
         return "lost"
 
-    world.state.hook = delay_write
-    world.ask(
+    world.state.transaction_fault = delay_write
+    world.request_controller(
         others[0], "POST", f"/api/jobs/{CANCELLED_JOB}/cancel", b"", lambda status, body: None
     )
     world.run(1.8)
-    world.state.hook = None
-    world.state.refused.add(leader)
+    world.state.transaction_fault = None
+    world.state.refused_nodes.add(leader)
     world.run(0.6)
-    assert world.user(others[-1], "GET", f"/api/jobs/{CANCELLED_JOB}")[1]["standing"] == "aborted"
+    assert (
+        world.user_request(others[-1], "GET", f"/api/jobs/{CANCELLED_JOB}")[1]["standing"]
+        == "aborted"
+    )
 
 
 def cancel_at_two_controllers(world: World, leader: str, others: list[str]) -> None:
@@ -124,22 +131,22 @@
 ) -> None:
     world = create_world(nodes, **SHAPES[shape])
     leader = node_with_most_tasks(world)
-    starts = len(world.starts)
+    starts = len(world.task_starts)
     cancel(world, leader, [n for n in sorted(world.owners) if n != leader])
     confirmed_at = world.now
-    world.state.outage(True)
+    world.state.set_outage(True)
     world.run(3.0)
     # The leader learns of it from the answer to its next hint, or stops when its promises end.
     assert world.now - confirmed_at < LEASE_S
-    assert world.running(CANCELLED_JOB) == 0
+    assert world.running_task_count(CANCELLED_JOB) == 0
     world.run(1.3 * CANCEL_S)
     # The leader keeps the service running throughout the outage.
-    assert world.running(KEPT_JOB) == 2 * nodes
-    world.state.refused.clear()
-    world.state.outage(False)
+    assert world.running_task_count(KEPT_JOB) == 2 * nodes
+    world.state.refused_nodes.clear()
+    world.state.set_outage(False)
     world.run(2 * LEASE_S)
-    assert world.running(KEPT_JOB) == 2 * nodes
-    assert [s for s in world.starts[starts:] if s[1].startswith(KEPT_JOB)] == []
+    assert world.running_task_count(KEPT_JOB) == 2 * nodes
+    assert [s for s in world.task_starts[starts:] if s[1].startswith(KEPT_JOB)] == []
     assert not any(o.cancellations.reported_at for o in world.owners.values())
 
 
@@ -151,17 +158,17 @@
         job_id = f"run-{number:06d}"
         leader = node_with_most_tasks(world, job_id)
         other = next(n for n in world.owners if n != leader)
-        world.state.refused.add(leader)
+        world.state.refused_nodes.add(leader)
         world.run(0.2)
-        assert world.user(other, "POST", f"/api/jobs/{job_id}/cancel")[0] == 200
+        assert world.user_request(other, "POST", f"/api/jobs/{job_id}/cancel")[0] == 200
         world.run(pause_s)
-        world.state.outage(True)
+        world.state.set_outage(True)
         world.run(outage_share * CANCEL_S)
-        world.state.refused.clear()
-        world.state.outage(False)
+        world.state.refused_nodes.clear()
+        world.state.set_outage(False)
         world.run(1.0)
     world.run(CANCEL_S)
-    assert world.running(CANCELLED_JOB) == world.running(KEPT_JOB) == 0
+    assert world.running_task_count(CANCELLED_JOB) == world.running_task_count(KEPT_JOB) == 0
 
 
 @pytest.mark.parametrize("back_s", [0.05, 0.9])
@@ -169,16 +176,16 @@
     world = create_world()
     leader = node_with_most_tasks(world)
     other = next(n for n in world.owners if n != leader)
-    world.state.refused.add(leader)
+    world.state.refused_nodes.add(leader)
     world.run(0.2)
     cancel_until_confirmed(world, other)
-    world.kill(other)
+    world.kill_node(other)
     world.run(back_s)
-    world.boot_node(int(other[1:]))
+    world.start_node(int(other[1:]))
     world.run(0.3)
-    world.state.outage(True)
+    world.state.set_outage(True)
     world.run(1.2 * CANCEL_S)
-    assert world.running(CANCELLED_JOB) == 0
+    assert world.running_task_count(CANCELLED_JOB) == 0
 
 
 def test_relayed_workers_stop_task() -> None:
@@ -188,14 +195,14 @@
     leader = node_with_most_tasks(world)
     others = [n for n in world.owners if n != leader]
     cut_off = [m.name for m in world.owners[leader].machines.values() if m.record.shard == leader]
-    world.part([leader], cut_off)
+    world.partition([leader], cut_off)
     world.run(7)
-    world.state.refused.add(leader)
+    world.state.refused_nodes.add(leader)
     world.run(0.3)
     cancel_until_confirmed(world, others[0])
-    world.state.outage(True)
+    world.state.set_outage(True)
     world.run(1.3 * CANCEL_S)
-    assert world.running(CANCELLED_JOB) == 0
+    assert world.running_task_count(CANCELLED_JOB) == 0
 
 
 def test_delayed_launch_after_outage() -> None:
@@ -207,24 +214,26 @@
     cut_off = [m.name for m in world.owners[leader].machines.values() if m.record.shard == leader]
     # Direct commands are held back; reports get through.
     for name in cut_off:
-        world.workers[name].cut_direct = True
-    world.submit(leader, job(3, hands=3, vcpus=0.5, memoryGb=1.0))
+        world.workers[name].direct_commands_blocked = True
+    world.submit(leader, job_submission(3, hands=3, vcpus=0.5, memoryGb=1.0))
     world.run(0.1)
     unanswered = [
-        n for n in cut_off if any("run-000003" in json.dumps(c) for c in world.workers[n].held)
+        n
+        for n in cut_off
+        if any("run-000003" in json.dumps(c) for c in world.workers[n].delayed_commands)
     ]
     assert unanswered
     # Answers to reports did not carry the launch either. From now on reports are relayed.
-    world.part([leader], cut_off)
-    world.state.refused.add(leader)
+    world.partition([leader], cut_off)
+    world.state.refused_nodes.add(leader)
     world.run(0.3)
-    assert world.user(others[0], "POST", "/api/jobs/run-000003/cancel")[0] == 200
-    world.state.outage(True)
+    assert world.user_request(others[0], "POST", "/api/jobs/run-000003/cancel")[0] == 200
+    world.state.set_outage(True)
     world.run(1.2 * CANCEL_S)
     for name in cut_off:
-        world.workers[name].go_on()
+        world.workers[name].reconnect()
     world.run(5)
-    assert world.running("run-000003") == 0
+    assert world.running_task_count("run-000003") == 0
 
 
 # Report interval, worker lease and `cancel_s` of the real deployments, in seconds.
@@ -240,7 +249,7 @@
     for name, value in zip(
         ("REPORT_S", "LEASE_S", "CANCEL_S"), DEPLOYMENT_TIMINGS_S[deployment_name], strict=True
     ):
-        for module in (deployment, models, rules):
+        for module in (deployment, fakes, rule_checker):
             if hasattr(module, name):
                 monkeypatch.setattr(module, name, value)
 
@@ -259,67 +268,69 @@
     leader = node_with_most_tasks(world)
     cancel(world, leader, [n for n in sorted(world.owners) if n != leader])
     world.run(outage_delay_s)
-    world.state.outage(True)
+    world.state.set_outage(True)
     world.run(1.3 * DEPLOYMENT_TIMINGS_S[deployment_name][2])
-    assert world.running(CANCELLED_JOB) == 0 and world.running(KEPT_JOB) == 6
+    assert world.running_task_count(CANCELLED_JOB) == 0 and world.running_task_count(KEPT_JOB) == 6
 
 
 @pytest.mark.parametrize("whole", [True, False])
 @pytest.mark.parametrize("lost", [True, False])
 def test_cancelled_sweep_or_point(whole: bool, lost: bool) -> None:
     # Promises do not name points. The leader stops in time because the promises end.
-    world = create_world(features=ON)
-    assert submit(world, "x in 1..12", vcpus=0.5, memoryGb=0.5)[0] == 201
+    world = create_world(features=SWEEPS_ENABLED)
+    assert submit_sweep(world, "x in 1..12", vcpus=0.5, memoryGb=0.5)[0] == 201
     points = [f"run-s.p{k}" for k in range(12)]
-    world.until(lambda: sum(map(world.running, points)) == 12, 60)
+    world.run_until(lambda: sum(map(world.running_task_count, points)) == 12, 60)
     leader = max(
         world.owners, key=lambda n: sum(len(j.placed) for j in world.owners[n].jobs.values())
     )
     first, *_, last = [n for n in sorted(world.owners) if n != leader]
-    world.state.refused.add(leader)
+    world.state.refused_nodes.add(leader)
     world.run(0.3)
     path = "/api/sweeps/run-s/cancel" if whole else "/api/jobs/run-s.p3/cancel"
     if lost:
-        world.state.hook = lambda node, body: "unanswered" if "run-s" in json.dumps(body) else None
-        world.ask(first, "POST", path, b"", lambda status, body: None)
+        world.state.transaction_fault = lambda node, body: (
+            "unanswered" if "run-s" in json.dumps(body) else None
+        )
+        world.request_controller(first, "POST", path, b"", lambda status, body: None)
         world.run(0.1)
-        world.state.hook = None
+        world.state.transaction_fault = None
     answer = (0, None)
     started_at = world.now
     while answer[0] != 200 and world.now - started_at < 5:
-        answer = world.user(last, "POST", path)
+        answer = world.user_request(last, "POST", path)
     assert answer[0] == 200
     for name in points if whole else [points[3]]:
-        world.cancelled.setdefault(name, world.now)
-    world.state.outage(True)
+        world.cancelled_at.setdefault(name, world.now)
+    world.state.set_outage(True)
     world.run(1.3 * CANCEL_S)
-    assert not any(world.running(name) for name in (points if whole else [points[3]]))
+    assert not any(world.running_task_count(name) for name in (points if whole else [points[3]]))
 
 
 def test_task_reported_after_cancellation_is_stopped() -> None:
     # The leader has just taken over another controller's machines, which have not reported yet.
     world = create_world()
-    world.refuses = True
+    world.dead_nodes_refuse = True
     ended, leader, other = sorted(world.owners)
     for name in world.owners[ended].machines:
-        world.workers[name].cut = world.workers[name].cut_direct = True
-    world.kill(ended)
-    world.until(lambda: any(ended in world.owners[n].held_shards for n in (leader, other)), 30)
+        world.workers[name].isolated = world.workers[name].direct_commands_blocked = True
+    world.kill_node(ended)
+    world.run_until(lambda: any(ended in world.owners[n].held_shards for n in (leader, other)), 30)
     if ended not in world.owners[leader].held_shards:
         leader, other = other, leader
-    world.state.refused.add(leader)
+    world.state.refused_nodes.add(leader)
     world.run(0.2)
     cancel_until_confirmed(world, other)
     world.run(1.5)
     assert CANCELLED_JOB in world.owners[leader].cancellations.reported_at
-    cut_off = [k for k in world.workers.values() if k.cut]
-    assert any(t.startswith(CANCELLED_JOB) for k in cut_off for t in k.live())
+    cut_off = [k for k in world.workers.values() if k.isolated]
+    assert any(t.startswith(CANCELLED_JOB) for k in cut_off for t in k.live_tasks())
     for worker in cut_off:
-        worker.cut = worker.cut_direct = False
+        worker.isolated = worker.direct_commands_blocked = False
         worker.node = leader
     world.run(4.0)
-    assert world.running(CANCELLED_JOB) == 0
-    assert any(t.startswith(KEPT_JOB) for k in cut_off for t in k.live())
+    assert world.running_task_count(CANCELLED_JOB) == 0
+    assert any(t.startswith(KEPT_JOB) for k in cut_off for t in k.live_tasks())
 
 
 def request_promise(world: World, node: str, applied: int = 0, **fields: Any) -> Promise:
@@ -390,7 +401,7 @@
 ) -> None:
     caplog.set_level("INFO", "sagecove.peers")
     world = create_world()
-    world.state.outage(True)
+    world.state.set_outage(True)
     world.run(2)
     owner = world.owners["n0"]
     given = owner.leadership.own_promises_until
@@ -430,7 +441,7 @@
 def test_false_cancellation_report_is_corrected() -> None:
     world = create_world()
     leader = node_with_most_tasks(world)
-    world.state.refused.add(leader)
+    world.state.refused_nodes.add(leader)
     world.run(0.5)
     world.owners[leader].cancellations.stop_reported(
         [CANCELLED_JOB, KEPT_JOB, "run-999999", "no name", ""]
@@ -438,12 +449,12 @@
     world.run(3)
     assert set(world.owners[leader].cancellations.reported_at) == {CANCELLED_JOB, KEPT_JOB}
     # It confirms nothing to users because of such a report.
-    assert world.user(leader, "GET", f"/api/jobs/{CANCELLED_JOB}")[0] == 503
-    world.state.refused.clear()
+    assert world.user_request(leader, "GET", f"/api/jobs/{CANCELLED_JOB}")[0] == 503
+    world.state.refused_nodes.clear()
     world.run(20)
     assert (
-        world.running(CANCELLED_JOB) == world.specs[CANCELLED_JOB]["hands"]
-        and world.running(KEPT_JOB) == 6
+        world.running_task_count(CANCELLED_JOB) == world.specs[CANCELLED_JOB]["hands"]
+        and world.running_task_count(KEPT_JOB) == 6
     )
     assert not world.owners[leader].cancellations.reported_at
 
@@ -451,13 +462,13 @@
 def test_stop_bound_fits_into_cancel_s() -> None:
     for lease_s in (4.0, 10.0, 12.0, 15.25, 24.0, 60.0):
         for more in (7.0, 10.0, 20.0, 25.0, 100.0):
-            s = settings(0)
+            s = controller_settings(0)
             workers = s.params.workers
             workers.lease_s, workers.cancel_s = lease_s, lease_s + more
             if s.lease_s >= 2.0:
                 # Time during which the leader still acts, the worker's lease, and 4 s for a launch
                 # without an answer.
-                assert (s.lease_s + lease_s) * (1 + s.drift) + 4.0 <= workers.cancel_s
+                assert (s.lease_s + lease_s) * (1 + s.clock_drift_ratio) + 4.0 <= workers.cancel_s
                 assert s.lease_s < lease_s
 
 
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -9,7 +9,7 @@
 from sagecove.coordination.model import JobRun, Machine
 from sagecove.coordination.placement import plan_placements, price_class
 from sagecove.coordination.provisioner import ExpectedFleet, ExpectedMachine
-from sagecove.lab.deployment import TYPES, job
+from sagecove.lab.deployment import MACHINE_TYPES, job_submission
 from sagecove.lab.world import World
 from sagecove.protocol import state as wire
 from sagecove.protocol.cloud import MachineType
@@ -17,11 +17,11 @@
 from sagecove.storage.records import JobRecord, MachineRecord
 from sagecove.storage.store import Outcome, Result, Store
 
-KINDS = {t["sku"]: msgspec.convert(t, MachineType) for t in TYPES}
+KINDS = {t["sku"]: msgspec.convert(t, MachineType) for t in MACHINE_TYPES}
 
 
 def run_of(**fields: Any) -> JobRun:
-    return JobRun(JobRecord(msgspec.convert(job(1, **fields), Job), 0.0), 1)
+    return JobRun(JobRecord(msgspec.convert(job_submission(1, **fields), Job), 0.0), 1)
 
 
 def machine(name: str, kind: str, spot: bool = False) -> Machine:
@@ -86,7 +86,7 @@
     results: list[Result] = []
     for key in "ab":
         store.commit([], [wire.Put(key, 1)], results.append, urgent=True)
-    wired.refused = lambda: store.throttled(0.0, 0.2)
+    wired.refused = lambda: store.pause_after_throttling(0.0, 0.2)
     assert store.flush(0.0) is not None
     assert not results
     wired.room = 2
@@ -128,28 +128,32 @@
     # Machines rented for a gang were shared out among all shards, and it fitted none of them.
     w = World()
     w.run(3)
-    gang = job(1, shape="ensemble", hands=3, vcpus=12.0, cards=4, memoryGb=40.0, rank="urgent")
+    gang = job_submission(
+        1, shape="ensemble", hands=3, vcpus=12.0, cards=4, memoryGb=40.0, rank="urgent"
+    )
     assert w.submit("n1", gang)[0] == 201
-    w.until(lambda: w.running("run-000001") == 3, 60)
+    w.run_until(lambda: w.running_task_count("run-000001") == 3, 60)
     shards = {w.owners["n0"].machines[name].record.shard for name in w.workers}
     assert len(shards) == 1
 
 
 def test_results_of_a_large_array_are_written_together() -> None:
     # Each pass wrote the numbers that had just come in: arrays alone used up the write budget.
-    w = World(nodes=1)
+    w = World(node_count=1)
     for i in range(30):
-        w.cloud.start("small", "ab"[i % 2], False)
+        w.cloud.start_machine("small", "ab"[i % 2], False)
     w.run(3)
     for n, worker in enumerate(w.workers.values()):
-        worker.run_s = 3.0 + 0.37 * n
+        worker.task_run_s = 3.0 + 0.37 * n
     writes = [0]
 
     def count(_: str, body: dict[str, Any]) -> None:
         writes[0] += sum("s/job/" in change.get("put", "") for change in body["then"])
 
-    w.state.hook = count
-    w.submit("n0", job(1, hands=60))
-    w.until(lambda: len(w.completed) == 60, 120)
+    w.state.transaction_fault = count
+    w.submit("n0", job_submission(1, hands=60))
+    w.run_until(lambda: len(w.completed_tasks) == 60, 120)
     assert writes[0] < 36
-    w.until(lambda: w.user("n0", "GET", "/api/jobs/run-000001")[1]["standing"] == "done", 4)
+    w.run_until(
+        lambda: w.user_request("n0", "GET", "/api/jobs/run-000001")[1]["standing"] == "done", 4
+    )
--- a/tests/test_spaces.py
+++ b/tests/test_spaces.py
@@ -7,10 +7,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from sagecove.sweeps import expand as e
-from sagecove.sweeps.grammar import GrammarError, parse, show
+from sagecove.sweeps import parameter_space as e
+from sagecove.sweeps.grammar import GrammarError, parse_space, show
 from sagecove.sweeps.records import Parameter, Template
-from sagecove.sweeps.template import Form, TemplateError, differences, fits
+from sagecove.sweeps.template import CompiledTemplate, TemplateError, differences, fits
 
 QUIET = settings(derandomize=True, max_examples=150, deadline=None)
 
@@ -19,7 +19,7 @@
 )
 texts = st.text(st.characters(blacklist_categories=("Cs", "Cc")), max_size=5)
 values = st.one_of(numbers, texts, st.booleans())
-listed = st.lists(values, min_size=1, max_size=4).map(e.Listed)
+listed = st.lists(values, min_size=1, max_size=4).map(e.ValueList)
 ranges = st.tuples(st.integers(-9, 9), st.integers(0, 6), st.integers(1, 3)).map(
     lambda t: e.Range(t[0], t[0] + t[1], t[2])
 )
@@ -92,7 +92,7 @@
 def naive(node: e.Node) -> list[dict[str, Any]]:
     """All points of a node, written out."""
     if isinstance(node, e.Axis):
-        return [{node.name: node.source.at(k)} for k in range(node.source.count())]
+        return [{node.name: node.source.value_at(k)} for k in range(node.source.count())]
     lists = [naive(part) for part in node.parts]
     rows = product(*lists) if isinstance(node, e.Product) else zip(*lists, strict=True)
     return [{k: v for part in row for k, v in part.items()} for row in rows]
@@ -106,17 +106,17 @@
         for turn in range(space.repeat):
             full = {**point, "repetition": turn}
             wanted.append(full if space.where is None or e.holds(space.where, full) else None)
-    assert [space.point(k) for k in range(space.count())] == wanted
+    assert [space.point_values(k) for k in range(space.count())] == wanted
 
 
 @QUIET
 @given(spaces())
 def test_a_space_is_printed_and_read_back_as_it_was(space: e.Space) -> None:
     text = show(space)
-    again = parse(text)
+    again = parse_space(text)
     assert show(again) == text
-    assert [again.point(k) for k in range(min(50, again.count()))] == [
-        space.point(k) for k in range(min(50, space.count()))
+    assert [again.point_values(k) for k in range(min(50, again.count()))] == [
+        space.point_values(k) for k in range(min(50, space.count()))
     ]
 
 
@@ -128,17 +128,17 @@
 
 
 def test_a_sample_of_a_huge_space_is_drawn_without_listing_it() -> None:
-    space = parse("a in 1..1000000 * b in 1..1000000 sample 5 seed 3")
-    e.check(space, 100)
-    drawn = [space.point(k) for k in range(space.count())]
-    assert len({str(p) for p in drawn}) == 5 and drawn == [space.point(k) for k in range(5)]
-    other = parse("a in 1..1000000 * b in 1..1000000 sample 5 seed 4")
-    assert other.point(0) != space.point(0)
+    space = parse_space("a in 1..1000000 * b in 1..1000000 sample 5 seed 3")
+    e.check_space(space, 100)
+    drawn = [space.point_values(k) for k in range(space.count())]
+    assert len({str(p) for p in drawn}) == 5 and drawn == [space.point_values(k) for k in range(5)]
+    other = parse_space("a in 1..1000000 * b in 1..1000000 sample 5 seed 4")
+    assert other.point_values(0) != space.point_values(0)
 
 
 def test_fractions_do_not_gather_errors() -> None:
-    space = parse("x in 0..1 by 0.1")
-    assert [space.point(k)["x"] for k in range(space.count())] == [  # type: ignore[index]
+    space = parse_space("x in 0..1 by 0.1")
+    assert [space.point_values(k)["x"] for k in range(space.count())] == [  # type: ignore[index]
         n / 10 for n in range(11)
     ]
 
@@ -160,7 +160,7 @@
     text: str, line: int, column: int, expected: str
 ) -> None:
     with pytest.raises(GrammarError) as error:
-        parse(text)
+        parse_space(text)
     assert (error.value.line, error.value.column) == (line, column)
     assert expected in error.value.problem
 
@@ -169,11 +169,11 @@
 @given(st.text('xyin[]()1.*&," whereptlog<=-+{}', max_size=40))
 def test_no_text_breaks_the_parser(text: str) -> None:
     try:
-        space = parse(text)
+        space = parse_space(text)
     except GrammarError as error:
         assert error.line >= 1 and error.column >= 1 and error.problem
     else:
-        assert parse(show(space)) == parse(show(parse(show(space))))
+        assert parse_space(show(space)) == parse_space(show(parse_space(show(space))))
 
 
 kinds = st.sampled_from(["whole", "number", "text", "flag"])
@@ -185,7 +185,7 @@
     kind: str, value: Any, least: Any, most: Any
 ) -> None:
     parameter = Parameter("p", kind, least=least, most=most)
-    form = Form(Template("t", [parameter], {"herd": "${p}"}))
+    form = CompiledTemplate(Template("t", [parameter], {"herd": "${p}"}))
     if fits(parameter, value):
         form.check_values({"p": value})
         if not isinstance(value, str):
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from sagecove.storage import taskset
-from sagecove.storage.budget import Budget
+from sagecove.storage.budget import TokenBucket
 from sagecove.storage.mirror import Event, Item, Mirror
 
 
@@ -13,29 +13,29 @@
     mirror = Mirror()
     mirror.apply(Event("s/job/1", "a", 5))
     mirror.apply(Event("s/job/1", None, 7))
-    mirror.advance(7)
+    mirror.advance_to(7)
     assert not mirror.apply(Event("s/job/1", "a", 5))
     assert "s/job/1" not in mirror.items
 
 
 def test_own_commit_ahead_of_the_watch() -> None:
     mirror = Mirror()
-    mirror.advance(4)
+    mirror.advance_to(4)
     mirror.apply(Event("k", None, 9))
     assert not mirror.apply(Event("k", "old", 6))
     assert mirror.apply(Event("k", "new", 10))
-    mirror.advance(10)
-    assert mirror.stamp("k") == 10
+    mirror.advance_to(10)
+    assert mirror.revision_of("k") == 10
 
 
 def test_fresh_listing_after_a_lost_watch() -> None:
     mirror = Mirror()
     for n, key in enumerate("abc", 1):
         mirror.apply(Event(key, key, n))
-    mirror.advance(3)
+    mirror.advance_to(3)
     for event in mirror.differences({"a": Item("a", 1), "b": Item("B", 6), "d": Item("d", 5)}, 6):
         mirror.apply(event)
-    mirror.advance(6)
+    mirror.advance_to(6)
     assert {k: i.value for k, i in mirror.items.items()} == {"a": "a", "b": "B", "d": "d"}
 
 
@@ -51,10 +51,10 @@
 
 
 def test_budget_allows_a_burst_and_then_its_rate() -> None:
-    budget = Budget(10.0, 5.0, 0.0)
+    budget = TokenBucket(10.0, 5.0, 0.0)
     spent = 0
     for tick in range(200):
-        while budget.delay(tick / 100) <= 0:
+        while budget.seconds_until_available(tick / 100) <= 0:
             budget.spend(tick / 100)
             spent += 1
     assert 23 <= spent <= 26
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -86,7 +86,7 @@
         assert half is not None
         half[0].dataReceived(b"GET /rea")
     user = crowd.open("10.0.0.1")
-    assert user is not None and crowd.server.open == 4
+    assert user is not None and crowd.server.open_count == 4
     user[0].dataReceived(ASK)
     assert user[1].value().startswith(b"HTTP/1.1 200")
     assert [half[1].connected for half in halves if half] == [False, True, True, True]
@@ -156,7 +156,7 @@
         assert opened is not None
         opened[0].dataReceived(text)
         assert opened[1].value().startswith(b"HTTP/1.1 " + status), opened[1].value()
-        assert not opened[1].connected and crowd.server.open == 0
+        assert not opened[1].connected and crowd.server.open_count == 0
 
 
 class Link:
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -7,14 +7,14 @@
 
 from sagecove.coordination.claims.releaser import UnconfirmedRelease
 from sagecove.coordination.effects import IncomingRequest, Reply
-from sagecove.lab.deployment import job
-from sagecove.lab.world import World, standing, with_machines
+from sagecove.lab.deployment import job_submission
+from sagecove.lab.world import World, job_state, world_with_machines
 
 
 @pytest.fixture
 def world() -> World:
     """Three controllers that are up, with six small machines."""
-    return with_machines(6)
+    return world_with_machines(6)
 
 
 def holder_of(w: World, job_id: str) -> str:
@@ -28,67 +28,67 @@
     world: World, seconds: float, decided: bool
 ) -> None:
     # World.check and World.started watch for two holders, two starts and tasks of cancelled jobs.
-    world.submit("n0", job(1, shape="service", hands=6))
-    world.until(lambda: world.running("run-000001") == 6, 40)
+    world.submit("n0", job_submission(1, shape="service", hands=6))
+    world.run_until(lambda: world.running_task_count("run-000001") == 6, 40)
     name = holder_of(world, "run-000001")
     other = next(n for n in world.owners if n != name)
-    world.submit(name, job(2, hands=6))
-    (world.decided if decided else world.still)[name] = world.now + seconds
+    world.submit(name, job_submission(2, hands=6))
+    (world.output_held_until if decided else world.paused_until)[name] = world.now + seconds
     world.run(0.2)
-    assert world.user(other, "POST", "/api/jobs/run-000001/cancel")[0] == 200
-    world.submit(other, job(3, hands=6))
+    assert world.user_request(other, "POST", "/api/jobs/run-000001/cancel")[0] == 200
+    world.submit(other, job_submission(3, hands=6))
     world.run(seconds + 45)
-    assert world.running("run-000001") == 0
-    world.until(lambda: len(world.completed) == 12, 60)
+    assert world.running_task_count("run-000001") == 0
+    world.run_until(lambda: len(world.completed_tasks) == 12, 60)
     # That it was not there to hear anybody does not make machines silent.
-    silent = {k for _, k, v in world.state.changes if v and v.get("leaving") == "silent"}
+    silent = {k for _, k, v in world.state.change_log if v and v.get("leaving") == "silent"}
     assert not silent
 
 
 def test_all_controllers_stand_still_in_turn_and_no_task_is_lost(world: World) -> None:
-    world.submit("n0", job(1, shape="service", hands=9))
-    world.until(lambda: world.running("run-000001") == 9, 60)
-    starts = len(world.starts)
+    world.submit("n0", job_submission(1, shape="service", hands=9))
+    world.run_until(lambda: world.running_task_count("run-000001") == 9, 60)
+    starts = len(world.task_starts)
     for name in sorted(world.owners):
-        world.still[name] = world.now + 6.0
+        world.paused_until[name] = world.now + 6.0
         world.run(14)
-    assert world.running("run-000001") == 9
-    assert len(world.starts) == starts
+    assert world.running_task_count("run-000001") == 9
+    assert len(world.task_starts) == starts
 
 
 def test_workers_of_a_silent_controller_wait_with_its_peers(world: World) -> None:
     # Sent back to the silent holder, they ran into a second timeout and the end of their leases.
-    world.submit("n0", job(1, shape="service", hands=9))
-    world.until(lambda: world.running("run-000001") == 9, 60)
-    starts = len(world.starts)
+    world.submit("n0", job_submission(1, shape="service", hands=9))
+    world.run_until(lambda: world.running_task_count("run-000001") == 9, 60)
+    starts = len(world.task_starts)
     name = holder_of(world, "run-000001")
     world.run(3)
-    world.still[name] = world.now + 70.0
+    world.paused_until[name] = world.now + 70.0
     world.run(30)
     assert name in {s for n, o in world.owners.items() if n != name for s in o.held_shards}
-    assert len(world.starts) == starts
+    assert len(world.task_starts) == starts
     # And users are turned away by it, or served by the others; placing goes on.
-    world.submit(next(n for n in world.owners if n != name), job(2, hands=4))
-    world.until(lambda: len(world.completed) == 4, 40)
+    world.submit(next(n for n in world.owners if n != name), job_submission(2, hands=4))
+    world.run_until(lambda: len(world.completed_tasks) == 4, 40)
 
 
 def test_a_holder_cut_off_from_its_peers_alone_keeps_its_workers(world: World) -> None:
     # inc-8d24: workers that had come by a peer were sent to and fro between the others.
-    world.submit("n0", job(1, shape="service", hands=9))
-    world.until(lambda: world.running("run-000001") == 9, 60)
+    world.submit("n0", job_submission(1, shape="service", hands=9))
+    world.run_until(lambda: world.running_task_count("run-000001") == 9, 60)
     world.run(3)
     name = holder_of(world, "run-000001")
     for n in world.owners:
         if n != name:
             world.cut_links |= {(name, f"10.0.0.{n[1:]}:81"), (n, f"10.0.0.{name[1:]}:81")}
     world.run(4)
-    starts = len(world.starts)
-    lost = [w for w in world.workers.values() if w.node == name and w.live()]
+    starts = len(world.task_starts)
+    lost = [w for w in world.workers.values() if w.node == name and w.live_tasks()]
     for worker in lost:
         worker.node = next(n for n in world.owners if n != name)
     world.run(40)
-    assert world.running("run-000001") == 9
-    assert len(world.starts) == starts
+    assert world.running_task_count("run-000001") == 9
+    assert len(world.task_starts) == starts
 
 
 def test_a_node_that_stood_still_is_not_ready_before_it_has_read_again(world: World) -> None:
@@ -105,27 +105,29 @@
     # cloud was asked again and again; gangs' machines ended up in three shards.
     w = World()
     w.run(3)
-    real = w.cloud.start
+    real = w.cloud.start_machine
 
     def at_once(sku: str, zone: str, spot: bool, boot: float = 0.0) -> str:
         return real(sku, zone, spot, 0.0)
 
-    w.cloud.start = at_once  # type: ignore[method-assign]
-    request = w.cloud.request
+    w.cloud.start_machine = at_once  # type: ignore[method-assign]
+    request = w.cloud.handle_request
     calls: list[str] = []
 
     def slow(method, path, body, answer):  # type: ignore[no-untyped-def]
         if path == "/machines":
             calls.append(body["hire"])
-            request(method, path, body, lambda s, b: w.later(1.5, lambda: answer(s, b)))
+            request(method, path, body, lambda s, b: w.call_later(1.5, lambda: answer(s, b)))
         else:
             request(method, path, body, answer)
 
-    w.cloud.request = slow  # type: ignore[method-assign]
-    gang = job(1, shape="ensemble", hands=3, vcpus=12.0, cards=4, memoryGb=40.0, rank="urgent")
+    w.cloud.handle_request = slow  # type: ignore[method-assign]
+    gang = job_submission(
+        1, shape="ensemble", hands=3, vcpus=12.0, cards=4, memoryGb=40.0, rank="urgent"
+    )
     assert w.submit("n1", gang)[0] == 201
-    assert w.until(lambda: w.running("run-000001") == 3, 30) < 8
-    assert len(calls) == len(set(calls)) and w.cloud.number == 3
+    assert w.run_until(lambda: w.running_task_count("run-000001") == 3, 30) < 8
+    assert len(calls) == len(set(calls)) and w.cloud.next_number == 3
 
 
 def test_a_refused_rental_is_not_asked_for_at_every_tick() -> None:
@@ -135,18 +137,18 @@
     w.run(3)
     w.cloud.capacity = {"small": 0, "gpu": 0}
     calls: list[str] = []
-    request = w.cloud.request
+    request = w.cloud.handle_request
 
     def counted(method, path, body, answer):  # type: ignore[no-untyped-def]
         if path == "/machines":
             calls.append(body["hire"])
         request(method, path, body, answer)
 
-    w.cloud.request = counted  # type: ignore[method-assign]
-    w.state.hook = lambda node, body: (
+    w.cloud.handle_request = counted  # type: ignore[method-assign]
+    w.state.transaction_fault = lambda node, body: (
         "throttled" if any("s/rental/" in c.get("drop", "") for c in body["then"]) else None
     )
-    w.submit("n0", job(1, hands=4))
+    w.submit("n0", job_submission(1, hands=4))
     w.run(15)
     assert calls and max(calls.count(name) for name in calls) <= 2
 
@@ -155,20 +157,22 @@
     # A limit of 0 was taken for a limit of nothing, and every job of such a team refused.
     w = World()
     for i in range(12):
-        w.cloud.start("small", "ab"[i % 2], False)
+        w.cloud.start_machine("small", "ab"[i % 2], False)
     w.run(3)
     for worker in w.workers.values():
-        worker.run_s = 2.0
+        worker.task_run_s = 2.0
     claims = [0]
 
     def count(_: str, body: dict[str, Any]) -> None:
         claims[0] += sum("s/job/" in change.get("put", "") for change in body["then"])
 
-    w.state.hook = count
-    guests = job(1, outfit="guests", hands=2000, vcpus=0.25, memoryGb=0.5, reckonS=2.0, rank="low")
+    w.state.transaction_fault = count
+    guests = job_submission(
+        1, outfit="guests", hands=2000, vcpus=0.25, memoryGb=0.5, reckonS=2.0, rank="low"
+    )
     assert w.submit("n0", guests)[0] == 201
-    w.until(lambda: len(w.completed) == 2000, 120)
-    assert len(w.starts) == 2000
+    w.run_until(lambda: len(w.completed_tasks) == 2000, 120)
+    assert len(w.task_starts) == 2000
     # Some twenty tasks a write, results included.
     assert claims[0] < 200
     record = w.state.keys.get("s/job/run-000001")
@@ -178,18 +182,18 @@
 def test_explanations_and_the_cluster_at_a_glance(world: World) -> None:
     world.cloud.capacity = {"small": 6, "gpu": 0}
     for worker in world.workers.values():
-        worker.run_s = 500.0
-    world.submit("n0", job(1, hands=30, rank="normal"))
+        worker.task_run_s = 500.0
+    world.submit("n0", job_submission(1, hands=30, rank="normal"))
     world.run(10)
-    world.submit("n1", job(2, outfit="blue", hands=9, rank="low"))
+    world.submit("n1", job_submission(2, outfit="blue", hands=9, rank="low"))
     world.run(5)
-    status, told = world.user("n1", "GET", "/explain/run-000002")
+    status, told = world.user_request("n1", "GET", "/explain/run-000002")
     assert status == 200 and told["team"] == "blue" and told["kind"] == "sweep"
     assert any("wait for room" in reason for reason in told["reasons"])
     assert any("run-000001" in reason for reason in told["reasons"])
-    assert world.user("n1", "GET", "/explain/run-000009")[0] == 404
-    assert world.user("n1", "POST", "/cluster")[0] == 405
-    status, seen = world.user("n2", "GET", "/cluster")
+    assert world.user_request("n1", "GET", "/explain/run-000009")[0] == 404
+    assert world.user_request("n1", "POST", "/cluster")[0] == 405
+    status, seen = world.user_request("n2", "GET", "/cluster")
     assert status == 200 and seen["up"] == ["n0", "n1", "n2"]
     assert {s["name"]: s["holder"] for s in seen["shards"]} == {n: n for n in world.owners}
     red = next(t for t in seen["teams"] if t["name"] == "red")
@@ -202,14 +206,16 @@
     # for good, and its team's other work with it, since the limit was "far away".
     w = World()
     for _ in range(3):
-        w.cloud.start("gpu", "a", False)
+        w.cloud.start_machine("gpu", "a", False)
     allotted = {"shards": {n: [4.0, 3.0] for n in w.owners}}
     w.state.commit({"if": [], "then": [{"put": "s/quota/red", "v": allotted}]})
     w.run(4)
     # 7 of 16 are spare, which is not near the limit, but 12 are needed.
-    gang = job(9, shape="ensemble", hands=3, vcpus=10.0, cards=4, memoryGb=40.0, rank="urgent")
+    gang = job_submission(
+        9, shape="ensemble", hands=3, vcpus=10.0, cards=4, memoryGb=40.0, rank="urgent"
+    )
     w.submit("n1", gang)
-    w.until(lambda: w.running("run-000009") == 3, 90)
+    w.run_until(lambda: w.running_task_count("run-000009") == 3, 90)
 
 
 def test_a_release_in_doubt_does_not_outlive_its_term(world: World) -> None:
@@ -217,17 +223,17 @@
     # and the tasks were kept back for it for good: the job never ended.
     world.cloud.capacity = {"small": 6, "gpu": 0}
     for worker in world.workers.values():
-        worker.run_s = 20.0
-    world.submit("n0", job(1, hands=4))
-    world.until(lambda: world.running("run-000001") == 4, 40)
+        worker.task_run_s = 20.0
+    world.submit("n0", job_submission(1, hands=4))
+    world.run_until(lambda: world.running_task_count("run-000001") == 4, 40)
     name = holder_of(world, "run-000001")
     owner = world.owners[name]
     run, shard = owner.jobs["run-000001"], owner.held_shards[name]
     lease = owner.leadership.lease_id
     assert lease is not None
-    world.state.end(lease)
-    world.until(lambda: name in owner.held_shards and owner.held_shards[name] is not shard, 20)
-    world.until(lambda: len(run.placed) > 0, 5)
+    world.state.expire_lease(lease)
+    world.run_until(lambda: name in owner.held_shards and owner.held_shards[name] is not shard, 20)
+    world.run_until(lambda: len(run.placed) > 0, 5)
     # The answer, or that there is none, comes when the term has changed already.
     index, placement = next(iter(run.placed.items()))
     run.releasing = 1 << index
@@ -235,8 +241,8 @@
     doubt = UnconfirmedRelease(run, shard, dict(run.claims), 1 << index, run.stamp, True)
     owner.scheduling_pass.releaser.unconfirmed.append(doubt)
     worker = world.workers[placement.machine.name]
-    worker.exit(placement.task, placement.attempt, "error")
-    world.until(lambda: standing(world, "n0", "run-000001") == "done", 60)
+    worker.exit_task(placement.task, placement.attempt, "error")
+    world.run_until(lambda: job_state(world, "n0", "run-000001") == "done", 60)
 
 
 def test_a_machine_that_never_comes_up_is_told_by_what_others_took(world: World) -> None:
@@ -263,9 +269,9 @@
 def test_many_machines_returned_at_once_do_not_fill_the_queue_of_transactions() -> None:
     # While the removal of their records waited, they were deleted again at every tick, and each
     # time the removal was queued once more: claims waited behind hundreds of these for a minute.
-    w = World(nodes=1)
+    w = World(node_count=1)
     for i in range(60):
-        w.cloud.start("small", "ab"[i % 2], False)
+        w.cloud.start_machine("small", "ab"[i % 2], False)
     w.run(3)
     sizes = {s: len(m) for s, m in w.owners["n0"].machines_by_shard.items()}
     assert sizes == {"n0": 60}
@@ -277,14 +283,14 @@
         drops.extend(names)
         return "throttled" if names and w.now < 1060 else None
 
-    w.state.hook = slowly
+    w.state.transaction_fault = slowly
     longest = 0
     for _ in range(60):
         w.run(1)
         longest = max(longest, len(owner.store.waiting))
     assert len(drops) > 20
     assert longest < 100
-    w.until(lambda: len(owner.machines) < 10, 120)
+    w.run_until(lambda: len(owner.machines) < 10, 120)
 
 
 def test_machines_found_in_the_list_are_shared_out_among_the_shards() -> None:
@@ -292,14 +298,14 @@
     w = World()
     w.run(0.5)
     for i in range(30):
-        w.cloud.start("small", "ab"[i % 2], False, 60.0)
+        w.cloud.start_machine("small", "ab"[i % 2], False, 60.0)
     w.run(20)
     sizes = {s: len(m) for s, m in w.owners["n0"].machines_by_shard.items()}
     assert sizes == {"n0": 10, "n1": 10, "n2": 10}
 
 
 def still(w: World, name: str) -> None:
-    w.still[name] = w.now + 60.0
+    w.paused_until[name] = w.now + 60.0
 
 
 def cut_off(w: World, name: str) -> None:
@@ -307,7 +313,7 @@
         if n != name:
             w.cut_links |= {(name, f"10.0.0.{n[1:]}:81"), (n, f"10.0.0.{name[1:]}:81")}
     w.cut_links |= {(name, "state"), (name, "cloud")}
-    w.deaf.add(name)
+    w.nodes_cut_from_workers.add(name)
 
 
 def no_state(w: World, name: str) -> None:
@@ -315,11 +321,11 @@
 
 
 def no_workers(w: World, name: str) -> None:
-    w.deaf.add(name)
+    w.nodes_cut_from_workers.add(name)
 
 
 def refused(w: World, name: str) -> None:
-    w.state.refused.add(name)
+    w.state.refused_nodes.add(name)
 
 
 TROUBLES = [still, cut_off, no_state, no_workers, refused]
@@ -331,49 +337,53 @@
     world: World, first: Any, second: Any
 ) -> None:
     # World.check and World.started watch the rules; here: placing goes on, nothing is stuck after.
-    world.submit("n0", job(1, shape="service", hands=6))
-    world.until(lambda: world.running("run-000001") == 6, 60)
+    world.submit("n0", job_submission(1, shape="service", hands=6))
+    world.run_until(lambda: world.running_task_count("run-000001") == 6, 60)
     first(world, "n0")
     world.run(5)
     second(world, "n1")
     world.run(35)
-    assert world.submit("n2", job(2, hands=4))[0] == 201
-    world.until(lambda: len(world.completed) == 4, 60)
+    assert world.submit("n2", job_submission(2, hands=4))[0] == 201
+    world.run_until(lambda: len(world.completed_tasks) == 4, 60)
     world.cut_links.clear()
-    world.deaf.clear()
-    world.state.refused.clear()
+    world.nodes_cut_from_workers.clear()
+    world.state.refused_nodes.clear()
     world.run(70)
     assert {n: set(o.held_shards) for n, o in world.owners.items()} == {
         n: {n} for n in world.owners
     }
-    assert world.running("run-000001") == 6
-    world.submit("n0", job(3, hands=9))
-    world.until(lambda: len(world.completed) == 13, 60)
+    assert world.running_task_count("run-000001") == 6
+    world.submit("n0", job_submission(3, hands=9))
+    world.run_until(lambda: len(world.completed_tasks) == 13, 60)
 
 
 def test_a_burst_of_guests_with_a_controller_killed_in_the_middle(world: World) -> None:
     # Production starts and cancellations go first; no tiny job is lost or run twice.
-    world.submit("n0", job(1, shape="service", hands=2, rank="production"))
+    world.submit("n0", job_submission(1, shape="service", hands=2, rank="production"))
     for i in range(100, 250):
-        tiny = job(i, outfit="guests", vcpus=0.25, memoryGb=0.4, rank="low", reckonS=5.0)
-        world.ask(f"n{i % 3}", "POST", "/api/jobs", world.spec(tiny), lambda s, b: None)
+        tiny = job_submission(i, outfit="guests", vcpus=0.25, memoryGb=0.4, rank="low", reckonS=5.0)
+        world.request_controller(
+            f"n{i % 3}", "POST", "/api/jobs", world.add_spec(tiny), lambda s, b: None
+        )
         world.run(0.1)
         if i == 160:
-            world.kill("n1")
+            world.kill_node("n1")
         if i == 190:
-            world.boot_node(1)
+            world.start_node(1)
     begun = world.now
-    assert world.submit("n0", job(2, shape="service", hands=2, rank="production"))[0] == 201
-    world.until(lambda: world.running("run-000002") == 2, 10)
-    assert world.user("n2", "POST", "/api/jobs/run-000002/cancel")[0] == 200
+    assert (
+        world.submit("n0", job_submission(2, shape="service", hands=2, rank="production"))[0] == 201
+    )
+    world.run_until(lambda: world.running_task_count("run-000002") == 2, 10)
+    assert world.user_request("n2", "POST", "/api/jobs/run-000002/cancel")[0] == 200
     assert world.now - begun < 10
     accepted = {f"run-{i:06d}" for i in range(100, 250)} & {
-        k.split("/")[-1] for _, k, v in world.state.changes if k.startswith(("s/job/", "o/"))
+        k.split("/")[-1] for _, k, v in world.state.change_log if k.startswith(("s/job/", "o/"))
     }
     assert len(accepted) > 100
     for i in range(100, 250):
         assert world.submit(f"n{i % 3}", world.specs[f"run-{i:06d}"])[0] in (200, 201)
-    world.until(lambda: len(world.completed) == 150, 120)
+    world.run_until(lambda: len(world.completed_tasks) == 150, 120)
 
 
 def test_a_session_known_by_a_direct_answer_has_its_whole_lease() -> None:
@@ -381,19 +391,19 @@
     # and learned of a new session from the answer to a direct command. It went on counting from
     # its last answer to a report, took the new session for over within a second, and placed the
     # task that it had just started once more: it ran twice.
-    w = World(nodes=1)
+    w = World(node_count=1)
     for _ in range(6):
-        w.cloud.start("small", "a", False)
+        w.cloud.start_machine("small", "a", False)
     w.run(4)
     w.cloud.capacity = {"small": 6, "gpu": 0}
     for worker in w.workers.values():
         # No report of it gets through.
-        worker.in_flight = True
-        worker.run_s = 30.0
-    answered = max(worker.lease_from for worker in w.workers.values())
-    w.until(lambda: w.now - answered > 12.1, 20)
-    w.submit("n0", job(1, vcpus=4.0, hands=2))
-    w.until(lambda: w.running("run-000001") == 2, 5)
+        worker.report_in_flight = True
+        worker.task_run_s = 30.0
+    answered = max(worker.lease_started_at for worker in w.workers.values())
+    w.run_until(lambda: w.now - answered > 12.1, 20)
+    w.submit("n0", job_submission(1, vcpus=4.0, hands=2))
+    w.run_until(lambda: w.running_task_count("run-000001") == 2, 5)
     sessions = [worker.session for worker in w.workers.values()]
     assert 2 in sessions
     # The rules are checked at each start.
@@ -407,27 +417,27 @@
     w.cloud.capacity = {"small": 24, "gpu": 0}
     w.run(3)
     for i in range(24):
-        w.cloud.start("small", "ab"[i % 2], False)
+        w.cloud.start_machine("small", "ab"[i % 2], False)
     w.run(5)
-    w.submit("n0", job(1, shape="service", hands=48))
-    w.until(lambda: w.running("run-000001") == 48, 60)
+    w.submit("n0", job_submission(1, shape="service", hands=48))
+    w.run_until(lambda: w.running_task_count("run-000001") == 48, 60)
     w.run(5)
-    starts, deleted = len(w.starts), len(w.cloud.deleted)
-    zone = {z: [n for n, k in w.workers.items() if k.info["range"] == z] for z in "ab"}
-    w.part(["n0", *zone["a"]], ["n1", *zone["b"]])
+    starts, deleted = len(w.task_starts), len(w.cloud.deleted_names)
+    zone = {z: [n for n, k in w.workers.items() if k.cloud_record["range"] == z] for z in "ab"}
+    w.partition(["n0", *zone["a"]], ["n1", *zone["b"]])
     w.run(25)
     w.cut_links.clear()
     w.run(25)
-    assert w.running("run-000001") == 48
-    assert (len(w.starts), len(w.cloud.deleted)) == (starts, deleted)
+    assert w.running_task_count("run-000001") == 48
+    assert (len(w.task_starts), len(w.cloud.deleted_names)) == (starts, deleted)
 
 
 def test_machines_of_a_zone_that_stay_silent_are_returned_in_the_end(world: World) -> None:
-    world.submit("n0", job(1, shape="service", hands=6))
-    world.until(lambda: world.running("run-000001") == 6, 40)
+    world.submit("n0", job_submission(1, shape="service", hands=6))
+    world.run_until(lambda: world.running_task_count("run-000001") == 6, 40)
     for worker in world.workers.values():
-        worker.dead = worker.info["range"] == "b"
+        worker.dead = worker.cloud_record["range"] == "b"
     gone = [n for n, k in world.workers.items() if k.dead]
     # Of one shard all may be in that zone, which looks as if its holder were at fault.
-    world.until(lambda: set(gone) <= set(world.cloud.deleted), 100)
-    world.until(lambda: world.running("run-000001") == 6, 60)
+    world.run_until(lambda: set(gone) <= set(world.cloud.deleted_names), 100)
+    world.run_until(lambda: world.running_task_count("run-000001") == 6, 60)
--- a/tests/test_up_at_once.py
+++ b/tests/test_up_at_once.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from sagecove.lab.deployment import LEASE_S, job
+from sagecove.lab.deployment import LEASE_S, job_submission
 from sagecove.lab.world import World
 
 SERVICE_JOB = "run-000001"
@@ -18,7 +18,7 @@
 
 def empty_world(boot_s: float, nodes: int = 3, seed: int = 1) -> World:
     """Create a world without machines that can rent up to twelve small ones."""
-    world = World(nodes=nodes, seed=seed)
+    world = World(node_count=nodes, seed=seed)
     world.cloud.boot_s, world.cloud.capacity = boot_s, {"small": 12, "gpu": 0}
     world.run(5)
     return world
@@ -27,32 +27,40 @@
 def submit_jobs(world: World, node: str) -> None:
     """Submit work for eight machines; the half that is a service stays."""
     keep = {"shape": "service", "hands": 16, "vcpus": 1.0, "memoryGb": 1.0, "rank": "urgent"}
-    world.look(node, "POST", "/api/jobs", world.spec(job(1, **keep)))
-    world.look(node, "POST", "/api/jobs", world.spec(job(2, hands=8, vcpus=2.0, reckonS=30.0)))
+    world.start_user_request(node, "POST", "/api/jobs", world.add_spec(job_submission(1, **keep)))
+    world.start_user_request(
+        node,
+        "POST",
+        "/api/jobs",
+        world.add_spec(job_submission(2, hands=8, vcpus=2.0, reckonS=30.0)),
+    )
 
 
 def check_outcome(world: World) -> None:
     """End all faults, then check that all work runs once on machines with one record each, and that
     unneeded machines are returned."""
-    world.state.hook = None
-    world.state.slow_s = 0.0
-    world.state.outage(False)
-    for n in range(world.nodes):
+    world.state.transaction_fault = None
+    world.state.answer_delay_s = 0.0
+    world.state.set_outage(False)
+    for n in range(world.node_count):
         if f"n{n}" not in world.owners:
-            world.boot_node(n)
-    world.calm_at = world.now
+            world.start_node(n)
+    world.faults_over_at = world.now
     for name in (SERVICE_JOB, "run-000002"):
         # A job that was never accepted is submitted again, as users do.
-        world.until(
-            lambda name=name: world.user("n0", "POST", "/api/jobs", world.specs[name])[0] < 300, 60
+        world.run_until(
+            lambda name=name: (
+                world.user_request("n0", "POST", "/api/jobs", world.specs[name])[0] < 300
+            ),
+            60,
         )
-    world.until(lambda: world.running(SERVICE_JOB) == 16, 60)
-    world.until(lambda: sum(t.startswith("run-000002") for t in world.completed) == 8, 90)
+    world.run_until(lambda: world.running_task_count(SERVICE_JOB) == 16, 60)
+    world.run_until(lambda: sum(t.startswith("run-000002") for t in world.completed_tasks) == 8, 90)
     # Idle machines are returned; every remaining machine has a record in one shard.
     world.run(120)
     records = {key for key in world.state.keys if key.startswith("s/machine/")}
     assert records == {f"s/machine/{name}" for name in world.cloud.machines}
-    assert len(world.cloud.machines) <= 8 and world.running(SERVICE_JOB) == 16
+    assert len(world.cloud.machines) <= 8 and world.running_task_count(SERVICE_JOB) == 16
     for owner in world.owners.values():
         for shard, machines in owner.machines_by_shard.items():
             assert all(m.record.shard == shard for m in machines.values())
@@ -63,9 +71,9 @@
 @pytest.mark.parametrize("slow_s", [0.0, 0.4, 1.2])
 def test_fast_booting_machines_get_work(slow_s: float, boot_s: float) -> None:
     world = empty_world(boot_s)
-    world.state.slow_s = slow_s
+    world.state.answer_delay_s = slow_s
     submit_jobs(world, "n0")
-    world.until(lambda: world.running(SERVICE_JOB) == 16, 25)
+    world.run_until(lambda: world.running_task_count(SERVICE_JOB) == 16, 25)
     check_outcome(world)
 
 
@@ -85,7 +93,7 @@
 def test_controllers_killed_during_rental(boot_s: float, back_s: float, who: str) -> None:
     for step in range(0, 28, 4 if who in ("provisioner", "all") else 9):
         world = empty_world(boot_s, seed=step + 1)
-        world.state.slow_s = 0.15
+        world.state.answer_delay_s = 0.15
         submit_jobs(world, "n0")
         world.run(0.25 + 0.12 * step)
         provisioner_node = find_provisioner(world)
@@ -96,8 +104,8 @@
             "all": sorted(world.owners),
         }[who]
         for name in names:
-            world.kill(name)
-            world.later(back_s, lambda world=world, n=name: world.boot_node(int(n[1:])))
+            world.kill_node(name)
+            world.call_later(back_s, lambda world=world, n=name: world.start_node(int(n[1:])))
         world.run(back_s + 0.1)
         check_outcome(world)
 
@@ -118,10 +126,10 @@
                 else None
             )
 
-        world.state.hook = hook
+        world.state.transaction_fault = hook
         submit_jobs(world, "n0")
         world.run(2.5)
         if end and (provisioner_node := find_provisioner(world)):
-            world.kill(provisioner_node)
+            world.kill_node(provisioner_node)
         world.run(8.0)
         check_outcome(world)
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -7,11 +7,11 @@
 import pytest
 
 from sagecove.coordination.model import JobRun
-from sagecove.lab.deployment import job
-from sagecove.lab.world import World, standing, with_machines
-from sagecove.protocol.users import read_job
+from sagecove.lab.deployment import job_submission
+from sagecove.lab.world import World, job_state, world_with_machines
+from sagecove.protocol.users import decode_job
 from sagecove.storage import taskset
-from sagecove.storage.records import JobRecord, tasks_most
+from sagecove.storage.records import JobRecord, max_claimable_tasks
 
 
 @pytest.mark.parametrize("value_kb", [8.0, 16.0])
@@ -21,12 +21,14 @@
 ) -> None:
     # Numbers of finished tasks of 100,000 took up to 16 KiB, and as much for each shard's claim.
     random = Random(tasks + shards)
-    spec = read_job(json.dumps(job(1, hands=tasks)).encode())
+    spec = decode_job(json.dumps(job_submission(1, hands=tasks)).encode())
     run = JobRun(JobRecord(spec, 1.0), 0)
     names = [f"n{n}" for n in range(shards)]
     for _ in range(40):
         held = run.all_tasks & ~run.finished & ~run.unclaimed
-        most = tasks_most(run.record, run.finished, held, shards, value_kb) - held.bit_count()
+        most = (
+            max_claimable_tasks(run.record, run.finished, held, shards, value_kb) - held.bit_count()
+        )
         claims = dict(run.claims)
         bits = taskset.lowest(run.unclaimed, max(0, most))
         for index in taskset.members(bits):
@@ -58,7 +60,7 @@
         }
         for n in range(30)
     ]
-    w = World(nodes=nodes, seed=3, teams=teams, audit=False)
+    w = World(node_count=nodes, seed=3, teams=teams, checks_ledgers=False)
     w.cloud.capacity = {"small": 60, "gpu": 0}
     sizes: dict[str, int] = {}
     whole: list[int] = []
@@ -72,11 +74,13 @@
                 kind = change["put"].rpartition("/")[0][:8]
                 sizes[kind] = max(sizes.get(kind, 0), len(json.dumps(change["v"])))
 
-    w.state.hook = noted
+    w.state.transaction_fault = noted
     w.run(3)
     for n in range(60):
-        spec = job(n, outfit=teams[n % 30]["name"], hands=12)
-        w.ask(f"n{n % nodes}", "POST", "/api/jobs", w.spec(spec), lambda s, b: None)
+        spec = job_submission(n, outfit=teams[n % 30]["name"], hands=12)
+        w.request_controller(
+            f"n{n % nodes}", "POST", "/api/jobs", w.add_spec(spec), lambda s, b: None
+        )
     w.run(25)
     assert sizes and max(sizes.values()) < 8 * 1024 / 2, sizes
     # A transaction is 64 KiB at most.
@@ -87,22 +91,22 @@
 
 def test_a_job_whose_record_cannot_be_read_stays_known() -> None:
     # Taken for a deletion, it was told to be unknown: 404 of an accepted job.
-    w = with_machines(4)
-    w.submit("n0", job(1, shape="service", hands=1))
-    w.until(lambda: w.running("run-000001") == 1, 30)
+    w = world_with_machines(4)
+    w.submit("n0", job_submission(1, shape="service", hands=1))
+    w.run_until(lambda: w.running_task_count("run-000001") == 1, 30)
     record = w.state.keys["s/job/run-000001"][0]
     later = {**record, "spec": {**record["spec"], "shape": 7}}
     w.state.commit({"if": [], "then": [{"put": "s/job/run-000001", "v": later}]})
     w.run(1)
-    for node in w.controllers():
-        assert standing(w, node, "run-000001") == "pending"
-        assert w.submit(node, job(1, shape="service", hands=1))[0] == 200
-        assert w.user(node, "POST", "/api/jobs/run-000001/cancel")[0] == 503
+    for node in w.controller_names():
+        assert job_state(w, node, "run-000001") == "pending"
+        assert w.submit(node, job_submission(1, shape="service", hands=1))[0] == 200
+        assert w.user_request(node, "POST", "/api/jobs/run-000001/cancel")[0] == 503
     # A controller that starts now knows no more, and one that can read it again tells.
-    w.kill("n1")
-    w.boot_node(1)
+    w.kill_node("n1")
+    w.start_node(1)
     w.run(3)
-    assert standing(w, "n1", "run-000001") == "pending"
+    assert job_state(w, "n1", "run-000001") == "pending"
     w.state.commit({"if": [], "then": [{"put": "s/job/run-000001", "v": record}]})
     w.run(1)
-    w.until(lambda: w.running("run-000001") == 1, 60)
+    w.run_until(lambda: w.running_task_count("run-000001") == 1, 60)
--- a/tests/test_waiting.py
+++ b/tests/test_waiting.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from sagecove.lab.deployment import job
+from sagecove.lab.deployment import job_submission
 from sagecove.lab.world import World
 
 TEAM_SETTINGS: list[dict[str, Any]] = [
@@ -25,11 +25,11 @@
     submitted_at = world.now
     for n in SMALL_JOB_NUMBERS:
         spec = {"shape": shape, "vcpus": 2.0, "reckonS": 20.0, **fields}
-        world.submit("n1", job(n, outfit="green", hands=1, **spec))
-    world.calm_at = submitted_at
+        world.submit("n1", job_submission(n, outfit="green", hands=1, **spec))
+    world.faults_over_at = submitted_at
     world.run(100)
     names = {f"run-{n:06d}/0" for n in SMALL_JOB_NUMBERS}
-    waits_s = [at - submitted_at for at, task, _ in world.starts if task in names]
+    waits_s = [at - submitted_at for at, task, _ in world.task_starts if task in names]
     assert len(waits_s) >= 4 and max(waits_s) < 25.0
 
 
@@ -38,35 +38,37 @@
 @pytest.mark.parametrize("delay_s", [5.0, 20.0, 35.0, 45.0])
 def test_gang_at_team_limit_reserves_no_room(delay_s: float, shape: str, nodes: int) -> None:
     # Four machines were free, and arrays were kept off all of them for as long as the service ran.
-    world = World(teams=TEAM_SETTINGS, nodes=nodes)
+    world = World(teams=TEAM_SETTINGS, node_count=nodes)
     world.cloud.capacity = {"small": 8, "gpu": 0}
     for i in range(8):
-        world.cloud.start("small", "ab"[i % 2], False)
+        world.cloud.start_machine("small", "ab"[i % 2], False)
     world.run(3)
     for worker in world.workers.values():
-        worker.run_s = 20.0
+        worker.task_run_s = 20.0
     service_fields = {"shape": "service", "hands": 4, "vcpus": 4.0, "rank": "production"}
-    world.submit("n0", job(1, outfit="red", **service_fields))
-    world.submit("n0", job(2, outfit="red", shape="ensemble", hands=3, vcpus=4.0, rank="urgent"))
-    world.until(lambda: world.running("run-000001") == 4, 60)
+    world.submit("n0", job_submission(1, outfit="red", **service_fields))
+    world.submit(
+        "n0", job_submission(2, outfit="red", shape="ensemble", hands=3, vcpus=4.0, rank="urgent")
+    )
+    world.run_until(lambda: world.running_task_count("run-000001") == 4, 60)
     world.run(delay_s)
     check_other_team_starts(world, shape)
     # The gang starts once its team's limit has room.
-    assert world.user("n0", "POST", "/api/jobs/run-000001/cancel")[0] == 200
-    world.until(lambda: world.running("run-000002") == 3, 60)
+    assert world.user_request("n0", "POST", "/api/jobs/run-000001/cancel")[0] == 200
+    world.run_until(lambda: world.running_task_count("run-000002") == 3, 60)
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("shape", ["sweep", "ensemble", "service"])
 def test_impossible_gang_reserves_no_room(shape: str, nodes: int) -> None:
     # The fleet has three of the four machines that it needs, and the cloud has no more.
-    world = World(teams=TEAM_SETTINGS, nodes=nodes)
+    world = World(teams=TEAM_SETTINGS, node_count=nodes)
     world.cloud.capacity = {"small": 0, "gpu": 3}
     for _ in range(3):
-        world.cloud.start("gpu", "a", False)
+        world.cloud.start_machine("gpu", "a", False)
     world.run(3)
     for worker in world.workers.values():
-        worker.run_s = 20.0
+        worker.task_run_s = 20.0
     gang_fields = {
         "shape": "ensemble",
         "vcpus": 5.0,
@@ -74,6 +76,6 @@
         "memoryGb": 30.0,
         "rank": "urgent",
     }
-    world.submit("n0", job(2, outfit="red", hands=4, **gang_fields))
+    world.submit("n0", job_submission(2, outfit="red", hands=4, **gang_fields))
     world.run(40)
     check_other_team_starts(world, shape, cards=1.0)
--- a/tests/test_waste.py
+++ b/tests/test_waste.py
@@ -7,7 +7,7 @@
 import pytest
 
 from sagecove.cli import main
-from sagecove.lab.deployment import job
+from sagecove.lab.deployment import job_submission
 from sagecove.lab.world import World
 
 
@@ -15,21 +15,21 @@
     tmp_path: Path, caplog: pytest.LogCaptureFixture, capsys: pytest.CaptureFixture[str]
 ) -> None:
     caplog.set_level(logging.INFO, logger="sagecove")
-    world = World(nodes=1)
+    world = World(node_count=1)
     world.cloud.capacity = {"small": 2, "gpu": 0}
     for _ in range(2):
-        world.cloud.start("small", "a", False)
+        world.cloud.start_machine("small", "a", False)
     world.run(3)
     for worker in world.workers.values():
-        worker.run_s = 12.0
-    world.submit("n0", job(1, hands=4, outfit="guests", herd="audits", rank="low"))
-    world.until(lambda: world.running("run-000001") == 4, 10)
+        worker.task_run_s = 12.0
+    world.submit("n0", job_submission(1, hands=4, outfit="guests", herd="audits", rank="low"))
+    world.run_until(lambda: world.running_task_count("run-000001") == 4, 10)
     world.run(4)
     # A service stops one of them, which begins anew.
-    world.submit("n0", job(2, shape="service", herd="front", rank="production"))
-    world.until(lambda: world.running("run-000002") == 1, 10)
-    world.until(lambda: len(world.completed) == 4, 60)
-    world.user("n0", "POST", "/api/jobs/run-000002/cancel")
+    world.submit("n0", job_submission(2, shape="service", herd="front", rank="production"))
+    world.run_until(lambda: world.running_task_count("run-000002") == 1, 10)
+    world.run_until(lambda: len(world.completed_tasks) == 4, 60)
+    world.user_request("n0", "POST", "/api/jobs/run-000002/cancel")
     world.run(15)
     log = tmp_path / "log"
     log.write_text("".join(f"   12.5 n0 INFO {r.name} {r.getMessage()}\n" for r in caplog.records))
