--- a/sagecove/lab/__init__.py
+++ b/sagecove/lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what sagecove meets, for stories on a fake clock and for `sagecove dev`."""
+"""Fakes of the systems around sagecove, for tests on a simulated clock and for `sagecove dev`."""
--- a/sagecove/lab/commands.py
+++ b/sagecove/lab/commands.py
@@ -1,4 +1,4 @@
-"""The lab's part of the command line: `sagecove lab waste`."""
+"""The `sagecove lab` commands of the command line."""
 
 import argparse
 import json
@@ -7,25 +7,29 @@
 from sagecove.lab import waste
 
 
-def parser(_asking: argparse.ArgumentParser, noun: str) -> argparse.ArgumentParser:
-    """Arguments of `sagecove lab`."""
-    out = argparse.ArgumentParser(prog=f"sagecove {noun}", description="Look into what happened.")
-    verbs = out.add_subparsers(dest="verb", required=True, metavar="VERB")
-    told = verbs.add_parser("waste", help="where started work went, by controllers' logs")
-    told.add_argument("log", metavar="LOG", help="a file of logs (info); - for standard input")
-    told.add_argument("--json", action="store_true", help="print JSON")
-    return out
+def parser(_request_options: argparse.ArgumentParser, noun: str) -> argparse.ArgumentParser:
+    """Return the argument parser of `sagecove lab`."""
+    lab_parser = argparse.ArgumentParser(
+        prog=f"sagecove {noun}", description="Analyze logs of controllers."
+    )
+    verbs = lab_parser.add_subparsers(dest="verb", required=True, metavar="VERB")
+    waste_parser = verbs.add_parser("waste", help="summarize wasted work from controllers' logs")
+    waste_parser.add_argument(
+        "log", metavar="LOG", help="a log file of level info; - for standard input"
+    )
+    waste_parser.add_argument("--json", action="store_true", help="print JSON")
+    return lab_parser
 
 
 def run(args: argparse.Namespace) -> int:
-    """Run a verb; its exit status."""
+    """Run a command and return its exit status."""
     if args.log == "-":
-        sums = waste.read(sys.stdin)
+        sums = waste.read_log(sys.stdin)
     else:
-        with open(args.log, encoding="utf-8", errors="replace") as lines:
-            sums = waste.read(lines)
+        with open(args.log, encoding="utf-8", errors="replace") as log_file:
+            sums = waste.read_log(log_file)
     if not sums["starts"]:
-        print(f"sagecove: {args.log}: no task was started, by these lines", file=sys.stderr)
+        print(f"sagecove: {args.log}: no task was started in this log", file=sys.stderr)
         return 1
-    print(json.dumps(sums) if args.json else waste.show(sums))
+    print(json.dumps(sums) if args.json else waste.format_table(sums))
     return 0
--- a/sagecove/lab/deployment.py
+++ b/sagecove/lab/deployment.py
@@ -1,6 +1,6 @@
-"""A small deployment for stories and for `sagecove dev`: machine types, settings, submissions.
+"""An example deployment for tests and `sagecove dev`: machine types, settings and submissions.
 
-The values are invented; their shapes are those of PROTOCOL and DEPLOY.
+The values are invented; the formats are those of PROTOCOL and DEPLOY.
 """
 
 from typing import Any
@@ -52,7 +52,7 @@
 def raw_controller_settings(
     node: int, nodes: int = 3, teams: list[dict[str, Any]] | None = None, **state: Any
 ) -> dict[str, Any]:
-    """The settings file of controller number `node`, as the platform would write it."""
+    """Return the content of controller `node`'s settings file, as the platform would write it."""
     return {
         "node": f"n{node}",
         "area": "a",
@@ -85,12 +85,12 @@
 def controller_settings(
     node: int, nodes: int = 3, teams: list[dict[str, Any]] | None = None, **state: Any
 ) -> Settings:
-    """Settings of controller number `node`."""
+    """Return the settings of controller number `node`."""
     return msgspec.convert(raw_controller_settings(node, nodes, teams, **state), Settings)
 
 
 def job_submission(number: int, **fields: Any) -> dict[str, Any]:
-    """A submission."""
+    """Return a submission in wire names, with some of its fields replaced."""
     return {
         "nameId": f"run-{number:06d}",
         "herd": "c",
--- a/sagecove/lab/fakes.py
+++ b/sagecove/lab/fakes.py
@@ -1,8 +1,9 @@
-"""ONE model of each outside system: the state service, the cloud, and a machine's worker.
+"""Fakes of the systems around a controller: the state service, the cloud and machines' workers.
 
-They answer PROTOCOL at the level of requests and know neither sockets nor clocks: a `Site` gives
-them time, chance and a network. On a fake clock that is the stories' `World`; on loopback it is
-`sagecove dev`. Faults are switches on the models.
+They implement PROTOCOL at the level of requests, without sockets or clocks of their own: a
+`FakeEnvironment` provides time, random numbers and a network. Tests use them in `World`, on a
+simulated clock; `sagecove dev` uses them in `Loopback`, in real time. Attributes of the fakes
+switch faults on.
 """
 
 import json
@@ -17,44 +18,46 @@
 
 
 class FakeEnvironment(Protocol):
-    """What the models need of their surroundings. Times in seconds of the site's own clock."""
+    """What the fakes need from their environment. Times are seconds of the environment's clock."""
 
     random: Random
     workers: "dict[str, FakeWorker]"
-    # Jobs that were submitted with a mistake: they fail wherever they run.
+    # Jobs that fail wherever they run, as if submitted with a mistake.
     failing_jobs: set[str]
     completed_tasks: set[str]
 
     @property
     def now(self) -> float:
-        """The site's clock."""
+        """The current time."""
 
-    def call_later(self, delay: float, action: Callable[[], None]) -> None:
-        """Run an action after a delay."""
+    def call_later(self, delay_s: float, action: Callable[[], None]) -> None:
+        """Run an action after a delay in seconds."""
 
     def controller_names(self) -> list[str]:
-        """Names that workers know, sorted."""
+        """Return the sorted names of the controllers that workers know."""
 
     def request_controller(
         self, node: str, method: str, path: str, body: Any, answer: AnswerCallback
     ) -> None:
-        """A worker's request to a controller; no answer at all if it cannot be reached."""
+        """Send a request to a controller; `answer` is not called if it is unreachable."""
 
     def machine_booted(self, name: str) -> None:
-        """A rented machine has come up: start its worker."""
+        """Start the worker of a rented machine that has booted."""
 
-    def fetch_description(self, job_id: str, done: Callable[[dict[str, Any] | None], None]) -> None:
-        """Fetch a job's description as workers do; None if there is none."""
+    def fetch_description(
+        self, job_id: str, callback: Callable[[dict[str, Any] | None], None]
+    ) -> None:
+        """Fetch a job's description as workers do; call back with None if there is none."""
 
     def task_started(self, worker: "FakeWorker", task: str) -> None:
-        """A task has just been started: the rules are checked here."""
+        """Record that a task has started, and check the rules."""
 
 
 class FakeStateService:
-    """The state service: conditions, leases, watch, outage."""
+    """The state service: conditional transactions, leases, watches and outages."""
 
-    def __init__(self, world: FakeEnvironment) -> None:
-        self.world = world
+    def __init__(self, environment: FakeEnvironment) -> None:
+        self.environment = environment
         self.ledger = 0
         self.keys: dict[str, tuple[Any, int, int | None]] = {}
         self.change_log: list[tuple[int, str, Any]] = []
@@ -63,23 +66,24 @@
         self.down = False
         self.refused_nodes: set[str] = set()
         self.compacted_before = 0
-        self.next_lease = 1
-        # Small, so that paging is always exercised.
+        self.next_lease_id = 1
+        # Keys in an answer; small, so that tests always exercise paging.
         self.page_size = 3
-        # Seconds until a request is answered, after it was executed: longer than its sender's
-        # patience, and the answer comes after the client gave up.
+        # Delay in seconds between executing a request and answering it. If it is longer than the
+        # client's timeout, the answer arrives after the client gave up.
         self.answer_delay_s = 0.0
-        # Seconds until the answer to one request, by who asks and its path; None: `slow_s`.
+        # Delay in seconds of an answer, by client and path; None: `answer_delay_s` for all.
         self.answer_delay_of: Callable[[str, str], float] | None = None
-        # Answers 429 to all but renewals.
+        # If set, all requests but lease renewals get status 429.
         self.throttles_all = False
-        # Called with each transaction; what becomes of it: None for the usual, or `lost` (not
-        # executed, no answer), `unanswered`, `late` (no answer, executed later), `throttled` or
-        # `refused`.
+        # Called with each transaction; returns its fault: None (executed and answered), `lost` (not
+        # executed, no answer), `unanswered` (executed, no answer), `late` (no answer, executed
+        # later), `throttled` (429) or `refused` (503).
         self.transaction_fault: Callable[[str, dict[str, Any]], str | None] | None = None
 
     def tick(self) -> None:
-        now = self.world.now
+        """Expire leases and answer watches that have events or have timed out."""
+        now = self.environment.now
         if not self.down:
             for lease, (until, _) in list(self.leases.items()):
                 if now > until:
@@ -87,43 +91,48 @@
         for watch in list(self.open_watches):
             node, prefix, since, until, answer = watch
             events = self.events_since(prefix, since)
-            # Open ones wait through an outage, and of one that is refused alone as well.
+            # During an outage, and while their client is refused, open watches stay open.
             waits = self.down or node in self.refused_nodes
             if not waits and (events or now >= until):
                 self.open_watches.remove(watch)
                 answer(200, self.encode_json({"ledger": self.ledger, "events": events}))
 
     def expire_lease(self, lease: int) -> None:
+        """Delete a lease and the keys bound to it."""
         del self.leases[lease]
-        gone = [k for k, (_, _, owner) in self.keys.items() if owner == lease]
-        if gone:
+        dropped_keys = [k for k, (_, _, owner) in self.keys.items() if owner == lease]
+        if dropped_keys:
             self.ledger += 1
-            for key in gone:
+            for key in dropped_keys:
                 del self.keys[key]
                 self.change_log.append((self.ledger, key, None))
 
     def set_outage(self, on: bool) -> None:
+        """Start or end an outage; after it, all leases begin anew at full length."""
         self.down = on
         if not on:
             for lease, (_, ttl) in list(self.leases.items()):
-                self.leases[lease] = (self.world.now + ttl, ttl)
+                self.leases[lease] = (self.environment.now + ttl, ttl)
 
     def events_since(self, prefix: str, since: int) -> list[dict[str, Any]]:
-        last: dict[str, tuple[int, Any]] = {}
-        begin = bisect_right(self.change_log, since, key=lambda change: change[0])
-        for ledger, key, value in self.change_log[begin:]:
+        """Return the latest change of each key with a prefix, after a ledger position."""
+        latest: dict[str, tuple[int, Any]] = {}
+        first_index = bisect_right(self.change_log, since, key=lambda change: change[0])
+        for ledger, key, value in self.change_log[first_index:]:
             if key.startswith(prefix):
-                last[key] = (ledger, value)
+                latest[key] = (ledger, value)
         return [
             {"drop": k, "stamp": s} if v is None else {"put": k, "v": v, "stamp": s}
-            for k, (s, v) in last.items()
+            for k, (s, v) in latest.items()
         ]
 
     @staticmethod
     def encode_json(body: Any) -> bytes:
+        """Encode an answer's body."""
         return json.dumps(body).encode()
 
     def commit(self, body: dict[str, Any]) -> tuple[int, bytes]:
+        """Execute a transaction; return the status and body of the answer."""
         failed = [
             c["path"]
             for c in body["if"]
@@ -146,19 +155,15 @@
         return 200, self.encode_json({"ledger": self.ledger})
 
     def handle_request(
-        self,
-        node: str,
-        method: str,
-        path: str,
-        body: Any,
-        answer: AnswerCallback,
+        self, node: str, method: str, path: str, body: Any, answer: AnswerCallback
     ) -> None:
-        wait_s = self.answer_delay_of(node, path) if self.answer_delay_of else self.answer_delay_s
-        if wait_s:
-            given = answer
+        """Execute and answer a client's request."""
+        delay_s = self.answer_delay_of(node, path) if self.answer_delay_of else self.answer_delay_s
+        if delay_s:
+            send_answer = answer
 
             def answer(status: int | None, body: bytes) -> None:
-                self.world.call_later(wait_s, lambda: given(status, body))
+                self.environment.call_later(delay_s, lambda: send_answer(status, body))
 
         if self.throttles_all and not path.endswith("/renew"):
             answer(429, b"{}")
@@ -170,7 +175,7 @@
             elif int(args["from"]) < self.compacted_before:
                 answer(410, b"{}")
             else:
-                until = self.world.now + int(args["blockMs"]) / 1000
+                until = self.environment.now + int(args["blockMs"]) / 1000
                 self.open_watches.append((node, args["prefix"], int(args["from"]), until, answer))
                 self.tick()
             return
@@ -178,31 +183,31 @@
             answer(503, b"{}")
             return
         if path == "/commit":
-            verdict = self.transaction_fault(node, body) if self.transaction_fault else None
-            if verdict == "lost":
+            fault = self.transaction_fault(node, body) if self.transaction_fault else None
+            if fault == "lost":
                 answer(None, b"")
                 return
-            if verdict == "late":
-                # No answer, and executed much later.
-                self.world.call_later(
-                    self.world.random.uniform(3, 15), lambda: (self.commit(body), None)[1]
+            if fault == "late":
+                # Not answered, and executed 3 to 15 s later.
+                self.environment.call_later(
+                    self.environment.random.uniform(3, 15), lambda: (self.commit(body), None)[1]
                 )
                 answer(None, b"")
                 return
-            if verdict in ("throttled", "refused"):
-                answer(429 if verdict == "throttled" else 503, b"{}")
+            if fault in ("throttled", "refused"):
+                answer(429 if fault == "throttled" else 503, b"{}")
                 return
             result = self.commit(body)
-            self.world.call_later(0.0, self.tick)
-            if verdict == "unanswered":
+            self.environment.call_later(0.0, self.tick)
+            if fault == "unanswered":
                 answer(None, b"")
             else:
                 answer(*result)
         elif path == "/grants":
-            lease = self.next_lease
-            self.next_lease += 1
+            lease = self.next_lease_id
+            self.next_lease_id += 1
             ttl = body["lifeMs"] / 1000
-            self.leases[lease] = (self.world.now + ttl, ttl)
+            self.leases[lease] = (self.environment.now + ttl, ttl)
             answer(200, self.encode_json({"tenure": lease}))
         elif path.startswith("/grants/"):
             lease = int(path.split("/")[2])
@@ -210,15 +215,15 @@
                 answer(404, b"{}")
             else:
                 ttl = self.leases[lease][1]
-                self.leases[lease] = (self.world.now + ttl, ttl)
+                self.leases[lease] = (self.environment.now + ttl, ttl)
                 answer(200, self.encode_json({"tenure": lease}))
         elif path.startswith("/store?"):
             args = dict(p.split("=") for p in path.partition("?")[2].split("&"))
             keys = sorted(
                 k for k in self.keys if k.startswith(args["prefix"]) and k > args.get("from", "")
             )
-            part = keys[: self.page_size]
-            pairs = [{"path": k, "v": self.keys[k][0], "stamp": self.keys[k][1]} for k in part]
+            page = keys[: self.page_size]
+            pairs = [{"path": k, "v": self.keys[k][0], "stamp": self.keys[k][1]} for k in page]
             answer(
                 200,
                 self.encode_json(
@@ -235,25 +240,26 @@
 
 
 class FakeCloud:
-    """The cloud: rentals by unique names, boots, deletions, a list that lags."""
+    """The cloud: rentals by unique request id, boots, deletions and a machine list that lags."""
 
-    def __init__(self, world: FakeEnvironment) -> None:
-        self.world = world
+    def __init__(self, environment: FakeEnvironment) -> None:
+        self.environment = environment
         self.machines_by_request: dict[str, list[str]] = {}
         self.machines: dict[str, dict[str, Any]] = {}
         self.next_number = 0
         self.capacity = {"small": 50, "gpu": 4}
         self.never_boot_count = 0
         self.boot_s = 10.0
-        # Seconds that one machine takes to boot, by its number; None: `boot_s`.
+        # Boot time in seconds by machine number; None: `boot_s` for all.
         self.boot_s_of: Callable[[int], float] | None = None
-        # Where a machine of this name will listen.
+        # The address on which a machine will listen, by its name.
         self.address_of: Callable[[str], str] = lambda name: f"10.9.0.{int(name[3:]) + 1}:9"
         self.list_lag_s = 4.0
         self.unavailable = False
         self.deleted_names: list[str] = []
 
-    def start_machine(self, sku: str, zone: str, spot: bool, boot: float = 0.0) -> str:
+    def start_machine(self, sku: str, zone: str, spot: bool, boot_s: float = 0.0) -> str:
+        """Start a machine, which boots after a delay, and return its name."""
         name = f"vm-{self.next_number:06d}"
         self.next_number += 1
         self.machines[name] = {
@@ -263,17 +269,18 @@
             "range": zone,
             "borrowed": spot,
             "standing": "booting",
-            "at": self.world.now,
+            "at": self.environment.now,
         }
         if self.never_boot_count > 0:
             self.never_boot_count -= 1
         else:
-            if boot and self.boot_s_of is not None:
-                boot = self.boot_s_of(self.next_number)
-            self.world.call_later(boot, lambda: self.world.machine_booted(name))
+            if boot_s and self.boot_s_of is not None:
+                boot_s = self.boot_s_of(self.next_number)
+            self.environment.call_later(boot_s, lambda: self.environment.machine_booted(name))
         return name
 
     def handle_request(self, method: str, path: str, body: Any, answer: AnswerCallback) -> None:
+        """Execute and answer a controller's request."""
         if self.unavailable:
             answer(503, b'{"error":"trouble"}')
         elif path == "/flavors":
@@ -281,8 +288,10 @@
         elif path == "/machines":
             name = body["hire"]
             if name not in self.machines_by_request:
-                have = sum(1 for m in self.machines.values() if m["breed"] == body["breed"])
-                count = min(body["howMany"], self.capacity[body["breed"]] - have)
+                existing_count = sum(
+                    1 for m in self.machines.values() if m["breed"] == body["breed"]
+                )
+                count = min(body["howMany"], self.capacity[body["breed"]] - existing_count)
                 if count <= 0:
                     answer(503, b'{"error":"no capacity"}')
                     return
@@ -295,48 +304,51 @@
             for name in body["mounts"]:
                 self.deleted_names.append(name)
                 self.machines.pop(name, None)
-                worker = self.world.workers.pop(name, None)
+                worker = self.environment.workers.pop(name, None)
                 if worker is not None:
                     worker.tasks = {}
                     worker.dead = True
             answer(200, b"{}")
         else:
             listed = [
-                {**m, "heldS": self.world.now - m["at"]}
+                {**m, "heldS": self.environment.now - m["at"]}
                 for m in self.machines.values()
-                if self.world.now - m["at"] > self.list_lag_s
+                if self.environment.now - m["at"] > self.list_lag_s
             ]
             answer(200, json.dumps({"mounts": listed, "truncated": False}).encode())
 
 
 class FakeWorker:
-    """A machine's worker: tasks, tokens, sessions, leases."""
+    """A machine's worker, with its tasks, token, session and lease."""
 
-    def __init__(self, world: FakeEnvironment, name: str, cloud_record: dict[str, Any]) -> None:
-        self.world = world
+    def __init__(
+        self, environment: FakeEnvironment, name: str, cloud_record: dict[str, Any]
+    ) -> None:
+        self.environment = environment
         self.name = name
         self.cloud_record = cloud_record
         self.session, self.report_number, self.token = 1, 0, 0
         self.tasks: dict[str, dict[str, Any]] = {}
-        self.node = world.random.choice(world.controller_names())
-        self.lease_started_at = world.now
+        self.node = environment.random.choice(environment.controller_names())
+        self.lease_started_at = environment.now
         self.dead = False
         self.isolated = False
         self.direct_commands_blocked = False
         self.delayed_commands: list[dict[str, Any]] = []
-        # How much faster than told tasks run here.
+        # Tasks run faster by this factor.
         self.speed_factor = 1.0
-        # Seconds that tasks take here; None: what their owners reckon.
+        # Run time of each task in seconds; None: the estimate of its submission.
         self.task_run_s: float | None = 5.0
-        # Seconds until it has a task's image.
+        # Seconds to fetch a task's image.
         self.image_fetch_s = 0.0
         self.spot_warning_s: float | None = None
         self.fails_tasks = False
         self.changed_at = 0.0
         self.report_in_flight = False
-        world.call_later(0.01, self.report_periodically)
+        environment.call_later(0.01, self.report_periodically)
 
     def report_body(self) -> dict[str, Any]:
+        """Return the next report, with a new sequence number."""
         self.report_number += 1
         return {
             "mount": self.name,
@@ -355,28 +367,32 @@
         }
 
     def live_tasks(self) -> list[str]:
+        """Return the tasks that have not exited."""
         return [t for t, v in self.tasks.items() if v["standing"] != "exited"]
 
     def check_lease(self) -> None:
-        if self.world.now - self.lease_started_at > LEASE_S:
+        """If the lease has expired, end all tasks and begin a new session."""
+        if self.environment.now - self.lease_started_at > LEASE_S:
             self.tasks = {}
             self.session += 1
-            self.lease_started_at = self.world.now
+            self.lease_started_at = self.environment.now
 
     def report_periodically(self) -> None:
+        """Send a report now and schedule the next one."""
         if self.dead:
             return
         self.check_lease()
-        self.world.call_later(
-            self.world.random.uniform(0.75, 1.0) * REPORT_S, self.report_periodically
+        self.environment.call_later(
+            self.environment.random.uniform(0.75, 1.0) * REPORT_S, self.report_periodically
         )
         self.send_report()
 
     def send_report(self) -> None:
+        """Send a report, unless one is unanswered, and execute the orders in the answer."""
         if self.isolated or self.report_in_flight:
             return
         self.report_in_flight = True
-        sent = self.world.now
+        sent_at = self.environment.now
         session = self.session
 
         def answer(status: int | None, body: bytes) -> None:
@@ -386,39 +402,45 @@
                 message = json.loads(body)
                 if message.get("brand", -1) >= self.token:
                     self.token = message["brand"]
-                    self.lease_started_at = sent
+                    self.lease_started_at = sent_at
                     self.execute_orders(message["orders"])
-            elif status == 421 and json.loads(body).get("foreman") in self.world.controller_names():
+            elif (
+                status == 421
+                and json.loads(body).get("foreman") in self.environment.controller_names()
+            ):
                 self.node = json.loads(body)["foreman"]
-                self.world.call_later(0.2, self.send_report)
+                self.environment.call_later(0.2, self.send_report)
             else:
                 self.try_next_node()
 
         answered = [False]
 
-        def once(status: int | None, body: bytes) -> None:
+        def answer_once(status: int | None, body: bytes) -> None:
             if not answered[0]:
                 answered[0] = True
                 self.report_in_flight = False
                 answer(status, body)
 
-        self.world.request_controller(self.node, "POST", "/hello", self.report_body(), once)
-        self.world.call_later(4.0, lambda: once(None, b""))
+        self.environment.request_controller(
+            self.node, "POST", "/hello", self.report_body(), answer_once
+        )
+        self.environment.call_later(4.0, lambda: answer_once(None, b""))
 
     def restart(self) -> None:
-        """The machine is back at once, with nothing it had: no task, no token, session 1."""
+        """Restart the machine without delay and without its tasks, token and session number."""
         self.tasks = {}
         self.session, self.report_number, self.token = 1, 0, 0
-        self.lease_started_at = self.world.now
+        self.lease_started_at = self.environment.now
 
     def try_next_node(self) -> None:
-        """Try the next node 1 s later."""
-        names = self.world.controller_names()
+        """Switch to the next controller and send a report to it after 1 s."""
+        names = self.environment.controller_names()
         if names:
             self.node = next((n for n in names if n > self.node), names[0])
-        self.world.call_later(1.0, self.send_report)
+        self.environment.call_later(1.0, self.send_report)
 
     def handle_commands(self, body: dict[str, Any]) -> tuple[int, bytes]:
+        """Execute commands sent directly; refuse them if their token or session is old."""
         self.check_lease()
         status = 200
         if body["brand"] < self.token or body["ride"] != self.session:
@@ -429,116 +451,123 @@
         return status, json.dumps(self.report_body()).encode()
 
     def reconnect(self) -> None:
-        """No way to it is cut any more: what was held up arrives, in order."""
+        """Restore the network; delayed commands arrive in the order in which they were sent."""
         self.isolated = self.direct_commands_blocked = False
-        late, self.delayed_commands = self.delayed_commands, []
-        for raw in late:
+        delayed, self.delayed_commands = self.delayed_commands, []
+        for raw in delayed:
             if not self.dead:
                 self.handle_commands(raw)
 
     def execute_orders(self, orders: list[dict[str, Any]]) -> None:
+        """Launch, stop and forget tasks; repeated and outdated orders have no effect."""
         for order in orders:
             task, attempt = order["hand"], order["try"]
-            have = self.tasks.get(task)
+            entry = self.tasks.get(task)
             if order["verb"] == "launch":
-                if have and have["try"] == attempt:
+                if entry and entry["try"] == attempt:
                     continue
-                if have and have["standing"] != "exited":
+                if entry and entry["standing"] != "exited":
                     continue
                 self.launch_task(task, attempt)
-            elif have and have["try"] == attempt:
+            elif entry and entry["try"] == attempt:
                 if order["verb"] == "halt":
                     self.stop_task(task, attempt, order["leewayS"])
-                elif have["standing"] == "exited":
+                elif entry["standing"] == "exited":
                     del self.tasks[task]
 
     def stop_task(self, task: str, attempt: int, grace_s: float) -> None:
-        """A running task that can save does, if it may; any other one exits at once."""
-        have = self.tasks[task]
-        spec = have.get("spec")
-        saves = spec and spec["waypointS"] > 0 and grace_s >= spec["stashS"]
-        if spec is None or not saves or (have["standing"] != "running" and grace_s == 0):
+        """Stop a task: a running one that can save within the grace period saves first, any other
+        one exits at once."""
+        entry = self.tasks[task]
+        spec = entry.get("spec")
+        can_save = spec and spec["waypointS"] > 0 and grace_s >= spec["stashS"]
+        if spec is None or not can_save or (entry["standing"] != "running" and grace_s == 0):
             self.exit_task(task, attempt, "stopped")
-        elif have["standing"] == "running":
-            have["standing"] = "saving"
-            self.world.call_later(spec["stashS"], lambda: self.exit_task(task, attempt, "stopped"))
+        elif entry["standing"] == "running":
+            entry["standing"] = "saving"
+            self.environment.call_later(
+                spec["stashS"], lambda: self.exit_task(task, attempt, "stopped")
+            )
 
     def launch_task(self, task: str, attempt: int) -> None:
-        """Start a task as soon as its description is here."""
-        mine = self.tasks[task] = {"try": attempt, "standing": "pulling", "cause": ""}
+        """Start a task once its description and image have been fetched."""
+        entry = self.tasks[task] = {"try": attempt, "standing": "pulling", "cause": ""}
 
-        def described(spec: dict[str, Any] | None) -> None:
-            if self.tasks.get(task) is not mine or mine["standing"] != "pulling" or self.dead:
+        def description_fetched(spec: dict[str, Any] | None) -> None:
+            if self.tasks.get(task) is not entry or entry["standing"] != "pulling" or self.dead:
                 return
             if spec is None:
-                mine["standing"], mine["cause"] = "exited", "unknown"
+                entry["standing"], entry["cause"] = "exited", "unknown"
             elif self.image_fetch_s:
-                self.world.call_later(self.image_fetch_s, lambda: begin(spec))
+                self.environment.call_later(self.image_fetch_s, lambda: start(spec))
             else:
-                begin(spec)
+                start(spec)
 
-        def begin(spec: dict[str, Any]) -> None:
-            if self.tasks.get(task) is not mine or mine["standing"] != "pulling" or self.dead:
+        def start(spec: dict[str, Any]) -> None:
+            if self.tasks.get(task) is not entry or entry["standing"] != "pulling" or self.dead:
                 return
             self.check_lease()
-            if self.tasks.get(task) is not mine:
+            if self.tasks.get(task) is not entry:
                 return
             gang = spec["shape"] == "ensemble"
-            mine["standing"], mine["spec"] = "waiting" if gang else "running", spec
-            self.world.task_started(self, task)
-            if self.fails_tasks or task.split("/")[0] in self.world.failing_jobs:
-                self.world.call_later(0.1, lambda: self.exit_task(task, attempt, "error"))
+            entry["standing"], entry["spec"] = "waiting" if gang else "running", spec
+            self.environment.task_started(self, task)
+            if self.fails_tasks or task.split("/")[0] in self.environment.failing_jobs:
+                self.environment.call_later(0.1, lambda: self.exit_task(task, attempt, "error"))
             elif gang:
-                self.world.call_later(GANG_WAIT_S, lambda: self.give_up_gang_wait(task, attempt))
+                self.environment.call_later(
+                    GANG_WAIT_S, lambda: self.give_up_gang_wait(task, attempt)
+                )
                 self.start_gang_if_complete(task.split("/")[0], attempt, spec)
             elif spec["shape"] != "service":
-                self.world.call_later(
+                self.environment.call_later(
                     self.run_duration_s(spec), lambda: self.exit_task(task, attempt, "done")
                 )
 
-        self.world.fetch_description(task.split("/")[0], described)
+        self.environment.fetch_description(task.split("/")[0], description_fetched)
 
     def start_gang_if_complete(self, job: str, attempt: int, spec: dict[str, Any]) -> None:
-        """A gang starts together once the last of it is here, and completes together."""
-        names = {f"{job}/{n}" for n in range(spec["hands"])}
+        """Start a gang's tasks together once all of them wait; they also complete together."""
+        gang_tasks = {f"{job}/{index}" for index in range(spec["hands"])}
 
         def members(standing: str) -> "list[tuple[FakeWorker, str]]":
             return [
                 (worker, task)
-                for worker in self.world.workers.values()
+                for worker in self.environment.workers.values()
                 for task, v in worker.tasks.items()
-                if task in names and v["try"] == attempt and v["standing"] == standing
+                if task in gang_tasks and v["try"] == attempt and v["standing"] == standing
             ]
 
-        def over() -> None:
+        def end_gang() -> None:
             running = members("running")
             for worker, task in running:
                 worker.exit_task(
-                    task, attempt, "done" if len(running) == len(names) else "mates_gone"
+                    task, attempt, "done" if len(running) == len(gang_tasks) else "mates_gone"
                 )
 
-        if len(gathered := members("waiting")) == len(names):
-            for worker, task in gathered:
+        if len(waiting := members("waiting")) == len(gang_tasks):
+            for worker, task in waiting:
                 worker.tasks[task]["standing"] = "running"
-            self.world.call_later(self.run_duration_s(spec), over)
+            self.environment.call_later(self.run_duration_s(spec), end_gang)
 
     def run_duration_s(self, spec: dict[str, Any]) -> float:
-        """How long a task runs here."""
+        """Return how long a task runs on this machine, in seconds."""
         return (
             float(spec["reckonS"] if self.task_run_s is None else self.task_run_s)
             / self.speed_factor
         )
 
     def give_up_gang_wait(self, task: str, attempt: int) -> None:
-        """A gang task has waited for the others for too long."""
-        have = self.tasks.get(task)
-        if have and have["try"] == attempt and have["standing"] == "waiting":
+        """End a gang task that still waits for the others of its gang."""
+        entry = self.tasks.get(task)
+        if entry and entry["try"] == attempt and entry["standing"] == "waiting":
             self.exit_task(task, attempt, "incomplete")
 
-    def exit_task(self, task: str, attempt: int, why: str) -> None:
-        have = self.tasks.get(task)
-        if have and have["try"] == attempt and have["standing"] != "exited":
-            have["standing"], have["cause"] = "exited", why
-            if why == "done":
-                self.world.completed_tasks.add(task)
-            self.world.call_later(0.3, self.send_report)
+    def exit_task(self, task: str, attempt: int, cause: str) -> None:
+        """Mark a task as exited and report it 0.3 s later."""
+        entry = self.tasks.get(task)
+        if entry and entry["try"] == attempt and entry["standing"] != "exited":
+            entry["standing"], entry["cause"] = "exited", cause
+            if cause == "done":
+                self.environment.completed_tasks.add(task)
+            self.environment.call_later(0.3, self.send_report)
--- a/sagecove/lab/loopback.py
+++ b/sagecove/lab/loopback.py
@@ -1,8 +1,8 @@
-"""The stand-ins on 127.0.0.1, and real controller processes between them.
+"""A local cluster: fake systems on 127.0.0.1 and real controller processes.
 
-`Loopback` is the site of the models in real time: every listener is on the loopback interface,
-every port is one that was free. Users come by one door, which stands for the load balancer and for
-the store that descriptions are uploaded to; the rules are checked on what passes through it.
+`Loopback` is the environment of the fakes in real time. Every listener uses a free port of the
+loopback interface. All users' requests pass through one address, which replaces the load balancer
+and the store that job descriptions are uploaded to; the rules are checked on what passes through.
 """
 
 import json
@@ -27,74 +27,78 @@
 log = logging.getLogger("sagecove.lab")
 
 HOST = "127.0.0.1"
-# The platform has a controller that ended back after about this time.
+# The platform restarts an ended controller after about this time.
 CONTROLLER_RESTART_S = 3.0
 
 
 def free_port() -> int:
-    """A port that nobody listens on at the moment."""
+    """Return a port that is free at the moment."""
     with socket.socket() as sock:
         sock.bind((HOST, 0))
         return int(sock.getsockname()[1])
 
 
 class ControllerProcess:
-    """A controller process and where it listens. `ended` hears of each end."""
+    """A controller process, its addresses and files; it is restarted whenever it ends."""
 
     def __init__(self, lab: "Loopback", number: int) -> None:
         self.lab = lab
         self.name = f"n{number}"
-        self.users = f"{HOST}:{free_port()}"
-        self.peers = f"{HOST}:{free_port()}"
-        self.state = ""
+        self.user_address = f"{HOST}:{free_port()}"
+        self.peer_address = f"{HOST}:{free_port()}"
+        self.state_address = ""
         self.process: Any = None
-        self.starts = 0
-        self.log = os.path.join(lab.folder, f"{self.name}.log")
+        self.start_count = 0
+        self.log_path = os.path.join(lab.folder, f"{self.name}.log")
 
     def start(self) -> None:
-        """Start the process; its log goes to a file."""
+        """Start the process with its log written to a file."""
         lab = self.lab
-        argv = [sys.executable, "-m", "sagecove", "serve", "--config", self.config]
+        argv = [sys.executable, "-m", "sagecove", "serve", "--config", self.settings_path]
         if lab.features:
             argv += ["--features", lab.features]
         env = {**os.environ, "PYTHONPATH": os.pathsep.join(p or "." for p in sys.path)}
         env.setdefault("LOG_LEVEL", "info")
-        with open(self.log, "ab") as file:
+        with open(self.log_path, "ab") as file:
             self.process = lab.reactor.spawnProcess(
-                lab.watcher(self), argv[0], argv, env, childFDs={0: 0, 1: 1, 2: file.fileno()}
+                lab.process_protocol(self),
+                argv[0],
+                argv,
+                env,
+                childFDs={0: 0, 1: 1, 2: file.fileno()},
             )
-        self.starts += 1
+        self.start_count += 1
 
     @property
-    def config(self) -> str:
-        """Path of its settings file."""
+    def settings_path(self) -> str:
+        """The path of the controller's settings file."""
         return os.path.join(self.lab.folder, f"{self.name}.json")
 
     def kill(self) -> None:
-        """End it with no signal that it could answer."""
+        """Kill the process with a signal that it cannot handle."""
         if self.process is not None:
             try:
                 self.process.signalProcess("KILL")
-            except Exception as error:  # twisted's ProcessExitedAlready: it was faster
+            except Exception as error:  # twisted's ProcessExitedAlready
                 log.debug("already ended node=%s error=%s", self.name, error)
 
-    def ended(self, status: Any) -> None:
-        """Its process has ended: the platform starts it again."""
+    def process_ended(self, status: Any) -> None:
+        """Schedule the restart of the ended process, as the platform would."""
         self.process = None
         if not self.lab.stopping:
-            how = f"signal {status.signal}" if status.signal else f"status {status.exitCode}"
-            self.lab.tell(
-                f"controller {self.name} ended ({how}), back in {CONTROLLER_RESTART_S:.0f} s"
+            end_text = f"signal {status.signal}" if status.signal else f"status {status.exitCode}"
+            self.lab.report_progress(
+                f"controller {self.name} ended ({end_text}), back in {CONTROLLER_RESTART_S:.0f} s"
             )
-            self.lab.reactor.callLater(CONTROLLER_RESTART_S, self._again)
+            self.lab.reactor.callLater(CONTROLLER_RESTART_S, self._restart)
 
-    def _again(self) -> None:
+    def _restart(self) -> None:
         if not self.lab.stopping and self.process is None:
             self.start()
 
 
 class Loopback(RuleChecker):
-    """State service, cloud, workers, users' door and controllers, in real time."""
+    """Runs the fakes, the users' address and the controller processes in real time."""
 
     def __init__(
         self,
@@ -103,18 +107,18 @@
         time_scale: float = 1.0,
         seed: int = 1,
         features: str = "",
-        tell: Callable[[str], None] = print,
+        report_progress: Callable[[str], None] = print,
     ) -> None:
         super().__init__()
         self.reactor = reactor
         self.random = Random(seed)
         self.time_scale = time_scale
         self.features = os.path.abspath(features) if features else ""
-        self.tell = tell
+        self.report_progress = report_progress
         self.stopping = False
-        self.breaches: list[str] = []
-        self.temporary = tempfile.TemporaryDirectory(prefix="sagecove-dev-")
-        self.folder = self.temporary.name
+        self.violations: list[str] = []
+        self.temporary_folder = tempfile.TemporaryDirectory(prefix="sagecove-dev-")
+        self.folder = self.temporary_folder.name
         self.clients: dict[str, Client] = {}
         self.listeners: dict[str, Any] = {}
         self.state = FakeStateService(self)
@@ -122,77 +126,79 @@
         self.cloud = FakeCloud(self)
         self.cloud.boot_s /= time_scale
         self.cloud.address_of = self._machine_address
-        self.nodes = [ControllerProcess(self, n) for n in range(controllers)]
-        self.door = ""
+        self.processes = [ControllerProcess(self, n) for n in range(controllers)]
+        self.user_address = ""
 
-    # -- what the models need -------------------------------------------------------------------
+    # -- environment of the fakes ---------------------------------------------------------------
 
     @property
     def now(self) -> float:  # type: ignore[override]
-        """Seconds of the reactor's clock."""
+        """The time of the reactor's clock in seconds."""
         return float(self.reactor.seconds())
 
-    def call_later(self, delay: float, action: Callable[[], None]) -> None:
-        """Run an action after a delay; a breach of a rule is noted and stops nothing."""
-        self.reactor.callLater(delay, self._guarded, action)
+    def call_later(self, delay_s: float, action: Callable[[], None]) -> None:
+        """Run an action after a delay; a broken rule is recorded and does not stop the cluster."""
+        self.reactor.callLater(delay_s, self._run_checked, action)
 
-    def _guarded(self, action: Callable[[], None]) -> None:
+    def _run_checked(self, action: Callable[[], None]) -> None:
         try:
             action()
-        except RuleViolation as breach:
-            self.breach(str(breach))
+        except RuleViolation as violation:
+            self.record_violation(str(violation))
 
-    def breach(self, text: str) -> None:
-        """A rule was broken."""
-        self.breaches.append(text)
-        self.tell(f"RULE BROKEN: {text}")
+    def record_violation(self, text: str) -> None:
+        """Record and print that a rule was broken."""
+        self.violations.append(text)
+        self.report_progress(f"RULE BROKEN: {text}")
 
     def task_started(self, worker: FakeWorker, task: str) -> None:
-        """A task starts; a breach is noted, and the task starts all the same."""
-        self._guarded(lambda: RuleChecker.task_started(self, worker, task))
+        """Check a task start; if it breaks a rule, that is recorded and the task starts anyway."""
+        self._run_checked(lambda: RuleChecker.task_started(self, worker, task))
 
     def controller_names(self) -> list[str]:
-        """Names of the controllers."""
-        return [node.name for node in self.nodes]
+        """Return the names of the controllers."""
+        return [node.name for node in self.processes]
 
     def request_controller(
         self, node: str, method: str, path: str, body: Any, answer: AnswerCallback
     ) -> None:
-        """A worker's request to a controller."""
-        address = next(n.users for n in self.nodes if n.name == node)
-        self.request(address, method, path, json.dumps(body).encode(), 4.0, answer)
+        """Send a worker's request to a controller."""
+        address = next(n.user_address for n in self.processes if n.name == node)
+        self.send_request(address, method, path, json.dumps(body).encode(), 4.0, answer)
 
     def machine_booted(self, name: str) -> None:
-        """A rented machine has come up."""
+        """Start the worker of a rented machine, unless the machine has been deleted."""
         if name in self.cloud.machines:
             self.cloud.machines[name]["standing"] = "running"
             worker = self.workers[name] = FakeWorker(self, name, self.cloud.machines[name])
             worker.task_run_s = None
             worker.speed_factor = self.time_scale
 
-    def fetch_description(self, job_id: str, done: Callable[[dict[str, Any] | None], None]) -> None:
-        """What the user uploaded; a sweep's point is described by any controller."""
+    def fetch_description(
+        self, job_id: str, callback: Callable[[dict[str, Any] | None], None]
+    ) -> None:
+        """Call back with what a user uploaded; points of sweeps are fetched from any controller."""
         if job_id in self.specs:
-            done(self.specs[job_id])
+            callback(self.specs[job_id])
             return
-        waiting = [node.users for node in self.nodes]
-        self.random.shuffle(waiting)
+        untried = [node.user_address for node in self.processes]
+        self.random.shuffle(untried)
 
-        def ask() -> None:
-            if not waiting:
-                done(None)
+        def ask_next() -> None:
+            if not untried:
+                callback(None)
                 return
             path = f"/api/jobs/{job_id}/description"
-            self.request(waiting.pop(), "GET", path, None, 2.0, answered)
+            self.send_request(untried.pop(), "GET", path, None, 2.0, answered)
 
         def answered(status: int | None, body: bytes) -> None:
             if status == 200:
                 self.specs[job_id] = json.loads(body)
-                done(self.specs[job_id])
+                callback(self.specs[job_id])
             else:
-                ask()
+                ask_next()
 
-        ask()
+        ask_next()
 
     # -- sockets --------------------------------------------------------------------------------
 
@@ -202,26 +208,26 @@
             port, Server(handler, self.reactor, 4000), backlog=512, interface=HOST
         )
 
-    def request(
+    def send_request(
         self,
         address: str,
         method: str,
         path: str,
         body: bytes | None,
-        timeout: float,
-        done: AnswerCallback,
+        timeout_s: float,
+        callback: AnswerCallback,
     ) -> None:
-        """Send a request."""
+        """Send an HTTP request and call back with status and body."""
         client = self.clients.get(address)
         if client is None:
             host, _, port = address.rpartition(":")
             client = self.clients[address] = Client(self.reactor, host, int(port), 200, 2.0)
-        client.request(method.encode(), path, body, timeout, done)
+        client.request(method.encode(), path, body, timeout_s, callback)
 
-    def _serve(
+    def _http_handler(
         self, handle: Callable[[str, str, Any, AnswerCallback], None]
     ) -> Callable[[str, str, bytes, Exchange], None]:
-        """A listener's handler around a model's."""
+        """Return an HTTP handler that passes JSON requests to a fake's handler."""
 
         def handler(method: str, path: str, raw: bytes, exchange: Exchange) -> None:
             try:
@@ -232,12 +238,12 @@
             answered: list[int] = []
 
             def answer(status: int | None, content: bytes) -> None:
-                # No answer: the asker is left to its own patience.
+                # Without a status, nothing is sent and the client runs into its timeout.
                 if status is not None and not answered:
                     answered.append(status)
                     exchange.reply(status, content)
 
-            self._guarded(lambda: handle(method, path, body, answer))
+            self._run_checked(lambda: handle(method, path, body, answer))
 
         return handler
 
@@ -251,13 +257,13 @@
             else:
                 answer(200, json.dumps(worker.report_body()).encode())
 
-        port = self.listeners[name] = self.listen(self._serve(handle))
+        port = self.listeners[name] = self.listen(self._http_handler(handle))
         return f"{HOST}:{port.getHost().port}"
 
     # -- users ----------------------------------------------------------------------------------
 
-    def _user(self, method: str, path: str, raw: bytes, exchange: Exchange) -> None:
-        """The users' door: takes a request to a controller that answers, and reads along."""
+    def _forward_user_request(self, method: str, path: str, raw: bytes, exchange: Exchange) -> None:
+        """Forward a user's request to a controller that answers, and check the answer."""
         upload: dict[str, Any] = {}
         if (method, path) == ("POST", "/api/jobs"):
             try:
@@ -265,22 +271,22 @@
                 self.specs.setdefault(upload["nameId"], upload)
             except (ValueError, TypeError, KeyError):
                 upload = {}
-        left = [node.users for node in self.nodes]
-        self.random.shuffle(left)
+        untried = [node.user_address for node in self.processes]
+        self.random.shuffle(untried)
 
-        def ask() -> None:
-            self.request(left.pop(), method, path, raw or None, 5.0, answered)
+        def ask_next() -> None:
+            self.send_request(untried.pop(), method, path, raw or None, 5.0, answered)
 
         def answered(status: int | None, body: bytes) -> None:
-            if status in (None, 0, 503) and left:
-                ask()
+            if status in (None, 0, 503) and untried:
+                ask_next()
                 return
-            self._guarded(lambda: self._read_along(path, upload, status, body))
+            self._run_checked(lambda: self._check_user_answer(path, upload, status, body))
             exchange.reply(status or 504, body or b'{"error":"no controller answers"}')
 
-        ask()
+        ask_next()
 
-    def _read_along(
+    def _check_user_answer(
         self, path: str, upload: dict[str, Any], status: int | None, body: bytes
     ) -> None:
         parts = path.split("/")
@@ -294,55 +300,57 @@
     # -- start and end --------------------------------------------------------------------------
 
     def start(self, machines: int = 4, port: int = 0) -> None:
-        """Listen, write the settings files, start machines and controllers."""
-        cloud = self.listen(self._serve(self.cloud.handle_request))
-        cloud_at = f"{HOST}:{cloud.getHost().port}"
-        for node in self.nodes:
-            state = self.listen(self._serve(partial(self.state.handle_request, node.name)))
-            node.state = f"{HOST}:{state.getHost().port}"
-        for number, node in enumerate(self.nodes):
-            raw = deployment.raw_controller_settings(number, len(self.nodes))
-            raw["serve_on"], raw["peer_listen"] = node.users, node.peers
-            raw["external"] = {"cloud": cloud_at, "state": node.state}
-            others = {n.name: n.peers for n in self.nodes}
+        """Open the listeners, write the settings files and start machines and controllers."""
+        cloud_listener = self.listen(self._http_handler(self.cloud.handle_request))
+        cloud_address = f"{HOST}:{cloud_listener.getHost().port}"
+        for node in self.processes:
+            state_listener = self.listen(
+                self._http_handler(partial(self.state.handle_request, node.name))
+            )
+            node.state_address = f"{HOST}:{state_listener.getHost().port}"
+        for number, node in enumerate(self.processes):
+            raw = deployment.raw_controller_settings(number, len(self.processes))
+            raw["serve_on"], raw["peer_listen"] = node.user_address, node.peer_address
+            raw["external"] = {"cloud": cloud_address, "state": node.state_address}
+            peer_addresses = {n.name: n.peer_address for n in self.processes}
             for member in raw["members"]:
-                member["endpoint"] = others[member["node"]]
-            with open(node.config, "wb") as file:
+                member["endpoint"] = peer_addresses[member["node"]]
+            with open(node.settings_path, "wb") as file:
                 file.write(msgspec.json.format(msgspec.json.encode(raw), indent=2))
             node.start()
         for number in range(machines):
             self.cloud.start_machine("small", "ab"[number % 2], False, 0.5)
-        door = self.listen(self._user, port)
-        self.door = f"{HOST}:{door.getHost().port}"
+        user_listener = self.listen(self._forward_user_request, port)
+        self.user_address = f"{HOST}:{user_listener.getHost().port}"
         self.reactor.addSystemEventTrigger("before", "shutdown", self.stop)
         self._tick()
 
     def _tick(self) -> None:
-        """The state service ends leases, and the rules are looked at, many times a second."""
+        """Advance the state service and check the rules, every 20 ms."""
         if self.stopping:
             return
         self.state.tick()
-        self._guarded(self.check_rules)
+        self._run_checked(self.check_rules)
         for name in [n for n in self.listeners if n not in self.cloud.machines]:
             self.listeners.pop(name).stopListening()
         self.reactor.callLater(0.02, self._tick)
 
-    def watcher(self, node: ControllerProcess) -> Any:
-        """What hears of a controller process's end."""
+    def process_protocol(self, node: ControllerProcess) -> Any:
+        """Return the protocol that reports the end of a controller's process."""
         from twisted.internet.protocol import ProcessProtocol
 
-        class Watcher(ProcessProtocol):  # type: ignore[misc]
+        class EndWatcher(ProcessProtocol):  # type: ignore[misc]
             def processEnded(self, reason: Any) -> None:
-                node.ended(reason.value)
+                node.process_ended(reason.value)
 
-        return Watcher()
+        return EndWatcher()
 
     def stop(self) -> None:
-        """End everything that was started here."""
+        """Kill the controllers; delete their files unless a rule was broken."""
         if self.stopping:
             return
         self.stopping = True
-        for node in self.nodes:
+        for node in self.processes:
             node.kill()
-        if not self.breaches:
-            self.temporary.cleanup()
+        if not self.violations:
+            self.temporary_folder.cleanup()
--- a/sagecove/lab/rule_checker.py
+++ b/sagecove/lab/rule_checker.py
@@ -1,6 +1,7 @@
-"""PROTOCOL's rules as the stand-ins can see them, checked at every start and as time goes by.
+"""Checks PROTOCOL's rules on what the fakes observe, at every task start and as time advances.
 
-Shares no code with the controllers. A breach raises `RuleBroken`, which names the rule first.
+Shares no code with the controllers. A broken rule raises `RuleViolation`, whose text begins with
+the name of the rule.
 """
 
 import itertools
@@ -11,63 +12,66 @@
 from sagecove.lab.deployment import CANCEL_S, LEASE_S, MACHINE_TYPES, TEAMS, job_submission
 from sagecove.lab.fakes import FakeWorker
 
-# The operators' addition to the rules (seconds; share).
+# Bounds that operators set in addition to PROTOCOL.
 UNANSWERED_LIMIT_S = 75.0
 SERVED_WITHIN_S = 240.0
 WAITING_LIMIT_S = 90.0
 MIN_SERVED_SHARE = 0.5
-# What every submission has; those that may be null may also be left out.
+# Fields that every submission must have; fields that may be null may also be left out.
 REQUIRED_FIELDS = set(job_submission(0)) - {"breeds", "range", "dueS"}
 
 
 class RuleViolation(AssertionError):
-    """A rule of PROTOCOL was broken: its name, and by what."""
+    """A rule of PROTOCOL was broken; the text is the rule's name and what broke it."""
 
 
 class RuleChecker:
-    """What has been submitted, cancelled, started and completed, and whether that was in order."""
+    """Records what is submitted, cancelled, started and completed, and checks it by the rules."""
 
     now: float
     random: Random
 
     def __init__(self) -> None:
         self.workers: dict[str, FakeWorker] = {}
-        # Submissions by job id, in wire names: what workers fetch.
+        # Submissions by job id, in wire names, as workers fetch them.
         self.specs: dict[str, dict[str, Any]] = {}
-        # Sweeps that were accepted: their points are jobs that nobody submits one by one.
+        # Accepted sweeps: their points are jobs that nobody submits individually.
         self.accepted_sweeps: set[str] = set()
-        # When users were told that a job is cancelled.
+        # When users first learnt that a job is cancelled.
         self.cancelled_at: dict[str, float] = {}
         self.completed_tasks: set[str] = set()
         self.failing_jobs: set[str] = set()
-        # What users have been told of jobs: the last state, and tasks that completed.
+        # The last state of each job that was reported to users.
         self.reported_states: dict[str, str] = {}
-        # The same in the order of the users' clocks: from which moment on a job has been accepted,
-        # done or cancelled for its users. A request begun before that may be answered as before.
+        # Orders requests and answers. `state_history` holds, for each job, from which number on its
+        # users have known that it is accepted, done or cancelled; a request that was sent before
+        # may still be answered with the earlier state.
         self.answer_counter = itertools.count()
         self.state_history: dict[str, list[tuple[int, str]]] = {}
-        # Tasks that started after their users had been told of the cancellation: (task, how long
-        # after). Messages under way make some of them; none may be `cancel_s` late.
+        # (task, seconds) for tasks that started so long after users learnt of the cancellation.
+        # Messages in flight cause some of them; none may be more than `cancel_s` late.
         self.starts_after_cancel: list[tuple[str, float]] = []
-        # Teams whose limits hold, and those of the settings that controllers are started with.
+        # Teams with the limits that are checked.
         self.teams = TEAMS
-        # (time, task, machine).
+        # All task starts, as (time, task, machine).
         self.task_starts: list[tuple[float, str, str]] = []
-        # When jobs were first submitted; accepted ones of which no question is answered, and since
-        # when; and when all troubles were over (None: they are not).
+        # When jobs were first submitted; since when no request about an accepted job has been
+        # answered; and when all faults were over (None: they are not yet).
         self.submitted_at: dict[str, float] = {}
         self.unanswered_since: dict[str, float] = {}
         self.faults_over_at: float | None = None
-        # Jobs that wait though they could begin, and since when.
+        # Since when jobs have waited though there is room for them.
         self.startable_since: dict[str, float] = {}
         self.waiting_checked_at = 0.0
 
-    def fetch_description(self, job_id: str, done: Callable[[dict[str, Any] | None], None]) -> None:
-        """A job's description, as workers fetch it: what its user has uploaded."""
-        done(self.specs.get(job_id))
+    def fetch_description(
+        self, job_id: str, callback: Callable[[dict[str, Any] | None], None]
+    ) -> None:
+        """Call back with the job description that its user uploaded."""
+        callback(self.specs.get(job_id))
 
     def task_started(self, worker: FakeWorker, task: str) -> None:
-        """A task starts on a machine."""
+        """Record a task start and check that it is allowed there and then."""
         self.task_starts.append((self.now, task, worker.name))
         for other in self.workers.values():
             other.check_lease()
@@ -75,11 +79,11 @@
                 raise RuleViolation(f"ran_twice {task} on {worker.name} and {other.name}")
         job_id = task.split("/")[0]
         spec = self.specs[job_id]
-        info = worker.cloud_record
+        cloud_record = worker.cloud_record
         if (
-            (spec["breeds"] is not None and info["breed"] not in spec["breeds"])
-            or spec["range"] not in (None, info["range"])
-            or (info["borrowed"] and not spec["borrowed"])
+            (spec["breeds"] is not None and cloud_record["breed"] not in spec["breeds"])
+            or spec["range"] not in (None, cloud_record["range"])
+            or (cloud_record["borrowed"] and not spec["borrowed"])
         ):
             raise RuleViolation(f"wrong_place {task} on {worker.name}")
         zones = [
@@ -87,10 +91,10 @@
             for w in self.workers.values()
             for t in w.live_tasks()
             if t.split("/")[0] == job_id and t != task
-        ] + [info["range"]]
+        ] + [cloud_record["range"]]
         if spec["samePlace"] and len(set(zones)) > 1:
             raise RuleViolation(f"wrong_place {task}: zones {zones}")
-        if spec["scatter"] and zones.count(info["range"]) > (spec["hands"] + 1) // 2:
+        if spec["scatter"] and zones.count(cloud_record["range"]) > (spec["hands"] + 1) // 2:
             raise RuleViolation(f"wrong_place {task}: zones {zones}")
         if job_id in self.cancelled_at:
             self.starts_after_cancel.append((task, self.now - self.cancelled_at[job_id]))
@@ -101,8 +105,8 @@
             raise RuleViolation(f"ran_cancelled {job_id}")
 
     def check_rules(self) -> None:
-        """Limits of teams, and tasks of cancelled jobs, at this moment."""
-        used: dict[str, float] = {}
+        """Check the rules that hold at every moment: limits, cancellations, answers and waiting."""
+        used_cpus: dict[str, float] = {}
         for worker in self.workers.values():
             if self.now - worker.lease_started_at > LEASE_S:
                 continue
@@ -110,9 +114,9 @@
                 job_id = task.split("/")[0]
                 spec = self.specs.get(job_id)
                 if spec is None:
-                    # Its description is still being fetched: it has not started.
+                    # Its description is still being fetched, so it has not started.
                     continue
-                used[spec["outfit"]] = used.get(spec["outfit"], 0.0) + spec["vcpus"]
+                used_cpus[spec["outfit"]] = used_cpus.get(spec["outfit"], 0.0) + spec["vcpus"]
                 self._check_cancelled(job_id)
         if self.faults_over_at is not None:
             for job_id, since in self.unanswered_since.items():
@@ -120,100 +124,112 @@
                     raise RuleViolation(f"forgotten {job_id}: no question answered")
             if self.now - self.waiting_checked_at >= 1.0:
                 self.waiting_checked_at = self.now
-                self._check_waiting(used)
+                self._check_waiting(used_cpus)
         for team in self.teams:
-            if team["cpus_max"] and used.get(team["name"], 0.0) > team["cpus_max"] + 1e-6:
-                raise RuleViolation(f"quota {team['name']} uses {used[team['name']]} CPUs")
+            if team["cpus_max"] and used_cpus.get(team["name"], 0.0) > team["cpus_max"] + 1e-6:
+                raise RuleViolation(f"quota {team['name']} uses {used_cpus[team['name']]} CPUs")
 
-    def _check_waiting(self, used: dict[str, float]) -> None:
-        """No job waits while machines that fit have room and its team is under its limit."""
-        on = {t.split("/")[0] for w in self.workers.values() for t in w.tasks}
-        over = {task.split("/")[0] for task in self.completed_tasks}
+    def _check_waiting(self, used_cpus: dict[str, float]) -> None:
+        """Check that no job waits too long while there is room and its team is under its limit."""
+        placed_jobs = {t.split("/")[0] for w in self.workers.values() for t in w.tasks}
+        completed_jobs = {task.split("/")[0] for task in self.completed_tasks}
         for job_id, state in self.reported_states.items():
             spec = self.specs.get(job_id)
-            left = state not in ("done", "aborted") and job_id not in on | over | self.failing_jobs
-            if spec is None or not left or not self._could_begin(spec, used):
+            unfinished = (
+                state not in ("done", "aborted")
+                and job_id not in placed_jobs | completed_jobs | self.failing_jobs
+            )
+            if spec is None or not unfinished or not self._could_start(spec, used_cpus):
                 self.startable_since.pop(job_id, None)
             elif self.now - self.startable_since.setdefault(job_id, self.now) > WAITING_LIMIT_S:
                 raise RuleViolation(f"waiting {job_id}: there is room for it")
 
-    def _could_begin(self, spec: dict[str, Any], used: dict[str, float]) -> bool:
-        """Its tasks, of an array one, find room on machines as they are."""
-        at_once = 1 if spec["shape"] == "sweep" else int(spec["hands"])
+    def _could_start(self, spec: dict[str, Any], used_cpus: dict[str, float]) -> bool:
+        """Tell whether all tasks of a job, or one of an array, fit on the machines as they are."""
+        tasks_at_once = 1 if spec["shape"] == "sweep" else int(spec["hands"])
         team = next(t for t in self.teams if t["name"] == spec["outfit"])
-        most = team["cpus_max"] or float("inf")
-        if used.get(team["name"], 0.0) + at_once * spec["vcpus"] > most + 1e-6:
+        cpu_limit = team["cpus_max"] or float("inf")
+        if used_cpus.get(team["name"], 0.0) + tasks_at_once * spec["vcpus"] > cpu_limit + 1e-6:
             return False
         room: dict[str, int] = {}
         for worker in self.workers.values():
-            info = worker.cloud_record
-            kind = next(t for t in MACHINE_TYPES if t["sku"] == info["breed"])
+            cloud_record = worker.cloud_record
+            machine_type = next(t for t in MACHINE_TYPES if t["sku"] == cloud_record["breed"])
             if (
-                (spec["breeds"] is not None and info["breed"] not in spec["breeds"])
-                or spec["range"] not in (None, info["range"])
-                or (info["borrowed"] and not spec["borrowed"])
+                (spec["breeds"] is not None and cloud_record["breed"] not in spec["breeds"])
+                or spec["range"] not in (None, cloud_record["range"])
+                or (cloud_record["borrowed"] and not spec["borrowed"])
             ):
                 continue
-            have = [self.specs.get(t.split("/")[0]) for t in worker.tasks]
-            if any(other is None for other in have):
+            placed_specs = [self.specs.get(t.split("/")[0]) for t in worker.tasks]
+            if any(other is None for other in placed_specs):
                 continue
-            times = [at_once]
+            fitting_counts = [tasks_at_once]
             for field in ("vcpus", "cards", "memoryGb"):
-                free = kind[field] - sum(other[field] for other in have if other)
+                free = machine_type[field] - sum(other[field] for other in placed_specs if other)
                 if spec[field] > 0:
-                    times.append(int((free + 1e-6) // spec[field]))
-            room[info["range"]] = room.get(info["range"], 0) + max(0, min(times))
+                    fitting_counts.append(int((free + 1e-6) // spec[field]))
+            room[cloud_record["range"]] = room.get(cloud_record["range"], 0) + max(
+                0, min(fitting_counts)
+            )
         if spec["samePlace"]:
-            return max(room.values(), default=0) >= at_once
+            return max(room.values(), default=0) >= tasks_at_once
         if spec["scatter"]:
             room = {zone: min(n, (spec["hands"] + 1) // 2) for zone, n in room.items()}
-        return sum(room.values()) >= at_once
+        return sum(room.values()) >= tasks_at_once
 
     def record_answer(
         self, job_id: str, status: int, answer: Any, *, submitted: bool, asked_at: int | None = None
     ) -> None:
-        """A user was given an answer about one job (status 0: none). `begun`: the moment at which
-        it asked, if others asked meanwhile."""
-        told = self.state_history.get(job_id, [])
-        known = [state for moment, state in told if asked_at is None or moment < asked_at]
-        before = known[-1] if known else None
+        """Check an answer that a user was given about a job; status 0 means no answer.
+
+        `asked_at` is the `answer_counter` number at which the request was sent, if other requests
+        were open meanwhile.
+        """
+        history = self.state_history.get(job_id, [])
+        earlier_states = [
+            state for moment, state in history if asked_at is None or moment < asked_at
+        ]
+        previous_state = earlier_states[-1] if earlier_states else None
         if submitted:
             self.submitted_at.setdefault(job_id, self.now)
         if status in (200, 201):
             self.unanswered_since.pop(job_id, None)
-        elif before is not None:
+        elif previous_state is not None:
             self.unanswered_since.setdefault(job_id, self.now)
-        if status == 404 and before is not None:
-            raise RuleViolation(f"forgotten {job_id} was {before}")
-        if submitted and status in (400, 422) and before is not None:
-            raise RuleViolation(f"forgotten {job_id} was {before}, then refused")
+        if status == 404 and previous_state is not None:
+            raise RuleViolation(f"forgotten {job_id} was {previous_state}")
+        if submitted and status in (400, 422) and previous_state is not None:
+            raise RuleViolation(f"forgotten {job_id} was {previous_state}, then refused")
         if status not in (200, 201) or not isinstance(answer, dict):
             return
         if job_id not in self.specs and job_id.rpartition(".p")[0] not in self.accepted_sweeps:
             raise RuleViolation(f"invented {job_id}")
         state = answer["standing"]
-        if before in ("done", "aborted") and state != before:
-            raise RuleViolation(f"went_back {job_id} from {before} to {state}")
+        if previous_state in ("done", "aborted") and state != previous_state:
+            raise RuleViolation(f"went_back {job_id} from {previous_state} to {state}")
         if state == "done":
-            every = {f"{job_id}/{n}" for n in range(self.specs.get(job_id, {"hands": 1})["hands"])}
-            if every - self.completed_tasks:
+            all_tasks = {
+                f"{job_id}/{n}" for n in range(self.specs.get(job_id, {"hands": 1})["hands"])
+            }
+            if all_tasks - self.completed_tasks:
                 raise RuleViolation(
-                    f"not_done {job_id} lacks {len(every - self.completed_tasks)} tasks"
+                    f"not_done {job_id} lacks {len(all_tasks - self.completed_tasks)} tasks"
                 )
         if submitted and status == 201 and job_id in self.specs:
             self._check_accepted(self.specs[job_id])
-        final = next((s for _, s in told if s in ("done", "aborted")), None)
-        if final is not None and state in ("done", "aborted") and state != final:
-            raise RuleViolation(f"went_back {job_id} from {final} to {state}")
-        if not told or (final is None and state in ("done", "aborted")):
+        final_state = next((s for _, s in history if s in ("done", "aborted")), None)
+        if final_state is not None and state in ("done", "aborted") and state != final_state:
+            raise RuleViolation(f"went_back {job_id} from {final_state} to {state}")
+        if not history or (final_state is None and state in ("done", "aborted")):
             self.state_history.setdefault(job_id, []).append((next(self.answer_counter), state))
-        if final is None:
+        if final_state is None:
             self.reported_states[job_id] = state
         if state == "aborted":
             self.cancelled_at.setdefault(job_id, self.now)
 
     def _check_accepted(self, spec: dict[str, Any]) -> None:
-        """Who accepts a job says that it can run, and that it lacks nothing."""
+        """Check that an accepted job can run and that its submission is complete."""
         missing = REQUIRED_FIELDS - set(spec)
         team = next((t for t in self.teams if t["name"] == spec.get("outfit")), None)
         if missing or team is None:
@@ -226,20 +242,22 @@
             and spec["range"] in (None, *t["ranges"])
             for t in MACHINE_TYPES
         )
-        at_once = 1 if spec["shape"] == "sweep" else spec["hands"]
-        most = team["cpus_max"] or float("inf")
-        if not fits or at_once * spec["vcpus"] > most + 1e-6:
+        tasks_at_once = 1 if spec["shape"] == "sweep" else spec["hands"]
+        cpu_limit = team["cpus_max"] or float("inf")
+        if not fits or tasks_at_once * spec["vcpus"] > cpu_limit + 1e-6:
             raise RuleViolation(f"accepted {spec['nameId']} can't run")
 
-    def served_shares(self, by: str = "herd") -> dict[str, float]:
-        """Share of accepted jobs that weren't cancelled and began within four minutes (a gang or
-        service with all its tasks), by class or, with `outfit`, team; the largest of each class, of
-        which there is another size, apart."""
-        begun: dict[str, set[str]] = {}
+    def served_shares(self, group_field: str = "herd") -> dict[str, float]:
+        """Return the share of accepted, not cancelled jobs that began within `SERVED_WITHIN_S`.
+
+        A gang or service has begun when all its tasks have. Shares are by class (`herd`) or by team
+        (`outfit`); if a class has jobs of several sizes, its largest ones also count separately.
+        """
+        started_tasks: dict[str, set[str]] = {}
         for at, task, _ in self.task_starts:
             job_id = task.split("/")[0]
             if at - self.submitted_at.get(job_id, at) <= SERVED_WITHIN_S:
-                begun.setdefault(job_id, set()).add(task)
+                started_tasks.setdefault(job_id, set()).add(task)
         groups: dict[str, list[bool]] = {}
         jobs = [
             self.specs[j]
@@ -247,22 +265,22 @@
             if j in self.specs and j not in self.cancelled_at
         ]
         for spec in jobs:
-            tasks = len(begun.get(spec["nameId"], ()))
-            good = tasks >= (1 if spec["shape"] == "sweep" else spec["hands"])
-            groups.setdefault(spec[by], []).append(good)
+            started_count = len(started_tasks.get(spec["nameId"], ()))
+            began_in_time = started_count >= (1 if spec["shape"] == "sweep" else spec["hands"])
+            groups.setdefault(spec[group_field], []).append(began_in_time)
             sizes = {s["hands"] for s in jobs if s["herd"] == spec["herd"]}
             if len(sizes) > 1 and spec["hands"] == max(sizes):
-                groups.setdefault(f"largest {spec['herd']}", []).append(good)
-        return {name: sum(good) / len(good) for name, good in groups.items()}
+                groups.setdefault(f"largest {spec['herd']}", []).append(began_in_time)
+        return {name: sum(outcomes) / len(outcomes) for name, outcomes in groups.items()}
 
     def check_served(self) -> None:
-        """Less than half of a class, a team or a class's largest jobs fails the day."""
+        """Check that in each group of `served_shares`, `MIN_SERVED_SHARE` began in time."""
         for name, share in {**self.served_shares(), **self.served_shares("outfit")}.items():
             if share < MIN_SERVED_SHARE:
                 raise RuleViolation(f"served {name}: {share:.2f}")
 
     def running_task_count(self, job_id: str) -> int:
-        """How many of a job's tasks are on machines."""
+        """Return how many tasks of a job are on machines whose leases have not expired."""
         return sum(
             1
             for w in self.workers.values()
--- a/sagecove/lab/waste.py
+++ b/sagecove/lab/waste.py
@@ -1,7 +1,7 @@
-"""Where started work goes, read off controllers' logs: `sagecove lab waste LOG`.
+"""Summarizes wasted work from controllers' logs: `sagecove lab waste LOG`.
 
-Counts starts, and of the tasks that ended without being done: why, for whom, and how much of their
-run was thrown away. A log may hold several controllers' lines and whatever stands before them.
+Counts task starts and, for tasks that ended without completing, why and for which job they ended
+and how much of their work was lost. A log may hold lines of several controllers, with any prefix.
 """
 
 import re
@@ -9,76 +9,84 @@
 from collections.abc import Iterable
 from typing import Any
 
-START = re.compile(r"start task=(\S+) ")
-END = re.compile(
+START_LINE = re.compile(r"start task=(\S+) ")
+END_LINE = re.compile(
     r"task ended task=(\S+) attempt=\d+ machine=\S+ class=(\S+) why=(\S+) for=(\S+)"
     r" ran=([\d.]+) lost_cpu_s=([\d.]+)"
 )
-DONE = re.compile(r"tasks done class=(\S+) tasks=(\d+) cpu_s=([\d.]+)")
-# What a stop's `for` may say beside a job's id.
-WORDS = {"job-over": "its job is over", "gang": "its gang ended", "spot-notice": "spot notice"}
+DONE_LINE = re.compile(r"tasks done class=(\S+) tasks=(\d+) cpu_s=([\d.]+)")
+# Texts for the values of a stop's `for` that are not job ids.
+CAUSE_TEXTS = {
+    "job-over": "its job is over",
+    "gang": "its gang ended",
+    "spot-notice": "spot notice",
+}
 
 
-def read(lines: Iterable[str]) -> dict[str, Any]:
-    """Sums over a log; times in CPU seconds.
+def read_log(lines: Iterable[str]) -> dict[str, Any]:
+    """Return totals over a log's lines; times are CPU seconds.
 
-    `causes` is by (class, cause): tasks, of these never run, of these with nothing lost, and the
-    CPU seconds that were.
+    Each entry of `causes` is for a class and a cause: ended tasks, those that never ran, those that
+    lost no work, and the CPU seconds lost.
     """
     starts: Counter[str] = Counter()
     causes: dict[tuple[str, str], list[float]] = {}
     done: dict[str, list[float]] = {}
     for line in lines:
-        if found := START.search(line):
-            starts[found[1]] += 1
-        elif found := END.search(line):
-            _, klass, why, whom, ran, lost = found.groups()
-            sums = causes.setdefault((klass, _cause(why, whom)), [0, 0, 0, 0.0])
+        if match := START_LINE.search(line):
+            starts[match[1]] += 1
+        elif match := END_LINE.search(line):
+            _, class_name, exit_reason, stopped_for, ran_s, lost_cpu_s = match.groups()
+            sums = causes.setdefault(
+                (class_name, _cause_text(exit_reason, stopped_for)), [0, 0, 0, 0.0]
+            )
             sums[0] += 1
-            sums[1] += float(ran) == 0
-            sums[2] += float(ran) > 0 and float(lost) == 0
-            sums[3] += float(lost)
-        elif found := DONE.search(line):
-            have = done.setdefault(found[1], [0, 0.0])
-            have[0] += int(found[2])
-            have[1] += float(found[3])
-    thrown = sum(int(sums[0] - sums[2]) for (_, cause), sums in causes.items() if cause != OVER)
+            sums[1] += float(ran_s) == 0
+            sums[2] += float(ran_s) > 0 and float(lost_cpu_s) == 0
+            sums[3] += float(lost_cpu_s)
+        elif match := DONE_LINE.search(line):
+            totals = done.setdefault(match[1], [0, 0.0])
+            totals[0] += int(match[2])
+            totals[1] += float(match[3])
+    thrown_away = sum(
+        int(sums[0] - sums[2]) for (_, cause), sums in causes.items() if cause != JOB_OVER_TEXT
+    )
     return {
         "starts": starts.total(),
-        "thrown_away": thrown,
+        "thrown_away": thrown_away,
         "most_starts_of_a_task": max(starts.values(), default=0),
         "tasks_started_again": sum(count > 1 for count in starts.values()),
         "done": [
-            {"class": klass, "tasks": int(count), "cpu_s": round(spent, 1)}
-            for klass, (count, spent) in sorted(done.items())
+            {"class": class_name, "tasks": int(count), "cpu_s": round(cpu_s, 1)}
+            for class_name, (count, cpu_s) in sorted(done.items())
         ],
         "causes": [
             {
-                "class": klass,
+                "class": class_name,
                 "cause": cause,
                 "ended": int(sums[0]),
                 "never_ran": int(sums[1]),
                 "saved": int(sums[2]),
                 "lost_cpu_s": round(sums[3], 1),
             }
-            for (klass, cause), sums in sorted(causes.items(), key=lambda c: -c[1][3])
+            for (class_name, cause), sums in sorted(causes.items(), key=lambda c: -c[1][3])
         ],
     }
 
 
-OVER = WORDS["job-over"]
+JOB_OVER_TEXT = CAUSE_TEXTS["job-over"]
 
 
-def _cause(why: str, whom: str) -> str:
-    if whom in WORDS:
-        return WORDS[whom]
-    if why == "stopped":
+def _cause_text(exit_reason: str, stopped_for: str) -> str:
+    if stopped_for in CAUSE_TEXTS:
+        return CAUSE_TEXTS[stopped_for]
+    if exit_reason == "stopped":
         return "stopped for another job"
-    return why
+    return exit_reason
 
 
-def show(sums: dict[str, Any]) -> str:
-    """A table."""
+def format_table(sums: dict[str, Any]) -> str:
+    """Return the totals as a text table."""
     starts = sums["starts"]
     share = 100 * sums["thrown_away"] / starts if starts else 0.0
     lines = [
--- a/sagecove/lab/world.py
+++ b/sagecove/lab/world.py
@@ -1,7 +1,7 @@
-"""Controllers and stand-ins on a fake clock, advanced together; the rules are checked as they go.
+"""A simulated cluster: real controllers and fake systems on one simulated clock.
 
-The controllers are the real owners, without sockets. Everything is seeded, so each story plays the
-same every time.
+The controllers are `Owner` objects without sockets. All random numbers come from seeds, so each run
+of a test is the same. PROTOCOL's rules are checked throughout.
 """
 
 import heapq
@@ -22,7 +22,7 @@
 
 
 class World(RuleChecker):
-    """Controllers and stand-ins, advanced together; the rules are checked at every start."""
+    """Advances controllers and fakes together, and checks the rules at every step and start."""
 
     def __init__(
         self,
@@ -35,37 +35,37 @@
         super().__init__()
         if teams is not None:
             self.teams = teams
-        # What controllers are started with: changed, it is what those started later go by.
+        # The teams in the settings of controllers; a change applies to those started later.
         self.controller_teams = self.teams
         self.features = features
-        # Count the books anew after each batch: linear in all there is, so not where time is taken.
+        # Recount each ledger after each batch; linear in jobs and machines, so not in benchmarks.
         self.checks_ledgers = checks_ledgers
         self.now = 1000.0
         self.random = Random(seed)
-        self.scheduled_actions: list[tuple[float, int, Callable[[], None]]] = []
-        self.action_order = itertools.count()
+        self.timers: list[tuple[float, int, Callable[[], None]]] = []
+        self.timer_order = itertools.count()
         self.owners: dict[str, Owner] = {}
         self.inboxes: dict[str, list[Any]] = {}
         self.state = FakeStateService(self)
         self.cloud = FakeCloud(self)
-        # Controllers that workers cannot reach, nor they the workers.
+        # Controllers that have no connection with any worker.
         self.nodes_cut_from_workers: set[str] = set()
         self.cut_links: set[tuple[str, str]] = set()
-        # Machines whose reports arrive, while no answer or command reaches them.
+        # Machines whose reports arrive, but which get no answer and no command.
         self.receive_blocked_machines: set[str] = set()
-        # What each message between controllers and workers takes on its way, beside the usual.
+        # Extra delay of each message between controllers and workers.
         self.link_delay_s = 0.0
-        # Machines that reach no controller, while direct commands reach them.
+        # Machines that get direct commands, but whose reports do not arrive.
         self.send_blocked_machines: set[str] = set()
-        # Reports of these machines, as they were sent: `again` has them arrive once more.
+        # Reports that these machines have sent, for `replay_report`.
         self.recorded_reports: dict[str, list[bytes]] = {}
-        # After how long reports of these machines arrive once more, at whatever controller.
+        # Delays after which copies of these machines' reports arrive at a random controller.
         self.report_copy_delays_s: dict[str, list[float]] = {}
-        # Controllers that stand still, and until when; the second kind has decided already, and
-        # what it decided leaves only afterwards.
+        # Paused controllers, and until when. Those in `output_held_until` are paused after their
+        # next decision, whose effects are sent only when the pause ends.
         self.paused_until: dict[str, float] = {}
         self.output_held_until: dict[str, float] = {}
-        # Controllers that have ended refuse connections; else they are silent, as without power.
+        # Ended controllers refuse connections; otherwise they do not answer, as without power.
         self.dead_nodes_refuse = False
         self.node_count = node_count
         for i in range(node_count):
@@ -73,40 +73,45 @@
 
     # -- time -----------------------------------------------------------------------------------
 
-    def call_later(self, delay: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self.scheduled_actions, (self.now + delay, next(self.action_order), action))
+    def call_later(self, delay_s: float, action: Callable[[], None]) -> None:
+        """Run an action after a delay on the simulated clock."""
+        heapq.heappush(self.timers, (self.now + delay_s, next(self.timer_order), action))
 
     def run(self, seconds: float) -> None:
-        end = self.now + seconds
-        while self.now < end:
+        """Advance the simulated clock in steps of 20 ms, checking the rules at each step."""
+        end_at = self.now + seconds
+        while self.now < end_at:
             self.now = round(self.now + 0.02, 6)
-            while self.scheduled_actions and self.scheduled_actions[0][0] <= self.now:
-                heapq.heappop(self.scheduled_actions)[2]()
+            while self.timers and self.timers[0][0] <= self.now:
+                heapq.heappop(self.timers)[2]()
             self.state.tick()
             for name in list(self.owners):
                 self.step_node(name)
             acting = [s for o in self.owners.values() for s in o.shards.active_shards(self.now)]
-            assert len(acting) == len(set(acting)), f"two holders act for a shard: {acting}"
+            assert len(acting) == len(set(acting)), f"two controllers hold a shard: {acting}"
             self.check_rules()
 
     def run_until(self, condition: Callable[[], bool], timeout_s: float) -> float:
-        begun = self.now
+        """Advance until a condition holds and return the seconds taken; fail after the timeout."""
+        started_at = self.now
         while not condition():
-            assert self.now - begun < timeout_s, "it took too long"
+            assert self.now - started_at < timeout_s, "the condition did not hold in time"
             self.run(0.1)
-        return self.now - begun
+        return self.now - started_at
 
-    def fetch_description(self, job_id: str, done: Callable[[dict[str, Any] | None], None]) -> None:
-        """What its user uploaded; a sweep's point is described by any controller."""
+    def fetch_description(
+        self, job_id: str, callback: Callable[[dict[str, Any] | None], None]
+    ) -> None:
+        """Call back with what a user uploaded; points of sweeps are fetched from any controller."""
         if job_id in self.specs or not self.features:
-            done(self.specs.get(job_id))
+            callback(self.specs.get(job_id))
             return
-        left = self.controller_names()
-        self.random.shuffle(left)
+        untried = self.controller_names()
+        self.random.shuffle(untried)
 
-        def ask() -> None:
-            if not left:
-                done(None)
+        def ask_next() -> None:
+            if not untried:
+                callback(None)
                 return
             answered = [False]
 
@@ -116,35 +121,35 @@
                 answered[0] = True
                 if status == 200:
                     self.specs[job_id] = json.loads(body)
-                    done(self.specs[job_id])
+                    callback(self.specs[job_id])
                 else:
-                    ask()
+                    ask_next()
 
             self.request_controller(
-                left.pop(), "GET", f"/api/jobs/{job_id}/description", b"", answer
+                untried.pop(), "GET", f"/api/jobs/{job_id}/description", b"", answer
             )
             self.call_later(2.0, lambda: answer(None, b""))
 
-        ask()
+        ask_next()
 
     def controller_names(self) -> list[str]:
+        """Return the running controllers, or all of them if none is running."""
         return sorted(self.owners) or sorted(self.inboxes)
 
-    def partition(self, left: list[str], right: list[str]) -> None:
-        """Two groups of controllers and machines cannot reach each other, until `cut_links` is
-        cleared."""
+    def partition(self, group: list[str], other_group: list[str]) -> None:
+        """Cut all links between two groups of nodes and machines, until `cut_links` is cleared."""
         addresses = {f"n{i}": f"10.0.0.{i}:81" for i in range(self.node_count)}
         addresses |= {name: worker.cloud_record["addr"] for name, worker in self.workers.items()}
-        for one, other in ((left, right), (right, left)):
-            # Machines call controllers by name, controllers call others by address.
-            self.cut_links |= {(a, b) for a in one for b in other}
-            self.cut_links |= {(a, addresses[b]) for a in one for b in other}
-
-    def isolate_node(self, node: str, refusing: bool) -> None:
-        """A controller has only its workers and users left; the state service refuses it, or is
-        silent."""
+        for sources, destinations in ((group, other_group), (other_group, group)):
+            # Machines call controllers by name; controllers call machines and peers by address.
+            self.cut_links |= {(a, b) for a in sources for b in destinations}
+            self.cut_links |= {(a, addresses[b]) for a in sources for b in destinations}
+
+    def isolate_node(self, node: str, refused_by_state: bool) -> None:
+        """Cut a controller off from its peers and the state service, which refuses its requests
+        or does not answer them; workers and users still reach it."""
         self.partition([node], [n for n in self.inboxes if n != node])
-        if refusing:
+        if refused_by_state:
             self.state.refused_nodes.add(node)
         else:
             self.cut_links.add((node, "state"))
@@ -152,6 +157,7 @@
     # -- controllers ----------------------------------------------------------------------------
 
     def start_node(self, number: int) -> None:
+        """Start a controller with empty memory."""
         name = f"n{number}"
         self.owners[name] = Owner(
             controller_settings(number, self.node_count, self.controller_teams),
@@ -160,9 +166,11 @@
         self.inboxes[name] = []
 
     def kill_node(self, name: str) -> None:
+        """End a controller without a shutdown."""
         del self.owners[name]
 
     def step_node(self, name: str) -> None:
+        """Let a controller handle its inbox, unless it is paused or has nothing to do."""
         owner = self.owners[name]
         if self.now < self.paused_until.get(name, 0.0):
             return
@@ -174,8 +182,10 @@
         ):
             return
         effects = owner.handle(batch, self.now, self.now)
-        if self.checks_ledgers and (wrong := ledger_differences(owner)):
-            raise AssertionError(f"{name}: the books are wrong: {'; '.join(wrong[:5])}")
+        if self.checks_ledgers and (differences := ledger_differences(owner)):
+            raise AssertionError(
+                f"{name}: the ledger differs from a recount: {'; '.join(differences[:5])}"
+            )
         if (until := self.output_held_until.pop(name, None)) is not None and effects:
             self.paused_until[name] = until
             self.call_later(until - self.now, lambda: self.send_effects(name, owner, effects))
@@ -183,6 +193,7 @@
             self.send_effects(name, owner, effects)
 
     def send_effects(self, name: str, owner: Owner, effects: list[Any]) -> None:
+        """Send a controller's replies and calls, unless it has ended meanwhile."""
         if self.owners.get(name) is not owner:
             return
         for effect in effects:
@@ -192,6 +203,7 @@
                 self.deliver_call(name, owner, effect)
 
     def deliver_call(self, name: str, owner: Owner, call: OutgoingCall) -> None:
+        """Send a controller's call to its target, subject to the network's faults."""
         raw = None if call.body is None else json.loads(msgspec.json.encode(call.body))
         answered = [False]
 
@@ -214,11 +226,9 @@
         else:
             if name in self.nodes_cut_from_workers and call.target.startswith("10.9."):
                 return
-            self.call_later(
-                0.002 + self.link_delay_s, lambda: self._deliver_addr(call, raw, answer)
-            )
+            self.call_later(0.002 + self.link_delay_s, lambda: self._deliver_to(call, raw, answer))
 
-    def _deliver_addr(self, call: OutgoingCall, raw: Any, answer: AnswerCallback) -> None:
+    def _deliver_to(self, call: OutgoingCall, raw: Any, answer: AnswerCallback) -> None:
         for worker in self.workers.values():
             if worker.cloud_record["addr"] == call.target and not worker.dead:
                 if worker.name in self.receive_blocked_machines:
@@ -241,13 +251,9 @@
     # -- users and workers ----------------------------------------------------------------------
 
     def request_controller(
-        self,
-        node: str,
-        method: str,
-        path: str,
-        body: Any,
-        answer: AnswerCallback,
+        self, node: str, method: str, path: str, body: Any, answer: AnswerCallback
     ) -> None:
+        """Send a user's or worker's request to a controller, subject to the network's faults."""
         if path == "/hello" and isinstance(body, dict):
             name = body["mount"]
             if (
@@ -259,14 +265,14 @@
             if name in self.recorded_reports:
                 self.recorded_reports[name].append(json.dumps(body).encode())
             for delay in self.report_copy_delays_s.get(name, ()):
-                self.call_later(delay, lambda: self._copy(json.dumps(body).encode()))
-            given, told = answer, name in self.receive_blocked_machines
-            answer = lambda status, raw: None if told else given(status, raw)  # noqa: E731
+                self.call_later(delay, lambda: self._replay_copy(json.dumps(body).encode()))
+            send_answer, blocked = answer, name in self.receive_blocked_machines
+            answer = lambda status, raw: None if blocked else send_answer(status, raw)  # noqa: E731
             if self.link_delay_s:
-                slow = json.dumps(body).encode()
+                raw_report = json.dumps(body).encode()
                 self.call_later(
                     self.link_delay_s,
-                    lambda: self.deliver_to_controller(node, method, path, slow, answer),
+                    lambda: self.deliver_to_controller(node, method, path, raw_report, answer),
                 )
                 return
         self.deliver_to_controller(node, method, path, body, answer)
@@ -274,85 +280,86 @@
     def deliver_to_controller(
         self, node: str, method: str, path: str, body: Any, answer: AnswerCallback
     ) -> None:
-        """A request arrives, or finds nobody."""
+        """Put a request into a controller's inbox; an ended controller refuses or ignores it."""
         if node in self.owners:
             raw = body if isinstance(body, bytes) else json.dumps(body).encode()
             self.inboxes[node].append(IncomingRequest(method, path, raw, answer))
         elif node not in self.owners and self.dead_nodes_refuse:
             self.call_later(0.01, lambda: answer(None, b""))
 
-    def _copy(self, raw: bytes) -> None:
-        """A report arrives once more; whoever sent it has long had its answer."""
+    def _replay_copy(self, raw: bytes) -> None:
+        """Deliver a copy of a report to a random controller, as a network duplicate."""
         self.replay_report(raw, [self.random.choice(self.controller_names())])
 
     def replay_report(self, raw: bytes, nodes: list[str]) -> list[int]:
-        """A report arrives once more, at these controllers; the statuses of their answers."""
-        told: list[int] = []
+        """Deliver a copy of a report to controllers; the returned list gets their statuses."""
+        statuses: list[int] = []
         for node in nodes:
             if node in self.owners:
-                answer = lambda status, body: told.append(status or 0)  # noqa: E731
+                answer = lambda status, body: statuses.append(status or 0)  # noqa: E731
                 self.inboxes[node].append(IncomingRequest("POST", "/hello", raw, answer))
-        return told
+        return statuses
 
     def start_user_request(self, node: str, method: str, path: str, body: Any = b"") -> None:
-        """A user's request beside others: its answer is held against what users had been told
-        before it was made."""
-        begun, told = next(self.answer_counter), [False]
+        """Send a user's request without waiting; check its answer by what users knew before."""
+        asked_at, answered = next(self.answer_counter), [False]
 
         def answer(status: int | None, raw: bytes) -> None:
-            if not told[0]:
-                told[0] = True
-                self.check_user_answer(path, body, status, raw, begun)
+            if not answered[0]:
+                answered[0] = True
+                self.check_user_answer(path, body, status, raw, asked_at)
 
         self.request_controller(node, method, path, body, answer)
 
     def check_user_answer(
         self, path: str, body: Any, status: int | None, raw: bytes, asked_at: int | None = None
     ) -> Any:
-        """A user was given this answer about a job: the rules hear of it."""
-        told = json.loads(raw) if raw else None
-        about, new = self._about(path, body), path == "/api/jobs"
-        self.record_answer(about, status or 0, told, submitted=new, asked_at=asked_at)
-        return told
+        """Check an answer about a job that a user was given, and return its content."""
+        content = json.loads(raw) if raw else None
+        job_id, submitted = self._job_of_request(path, body), path == "/api/jobs"
+        self.record_answer(job_id, status or 0, content, submitted=submitted, asked_at=asked_at)
+        return content
 
     def user_request(self, node: str, method: str, path: str, body: Any = b"") -> tuple[int, Any]:
-        """A user's request, waited for."""
-        got: list[tuple[int, Any]] = []
-        answer = lambda s, b: got.append((s or 0, json.loads(b) if b else None))  # noqa: E731
+        """Send a user's request and advance up to 6 s until it is answered; status 0: no answer."""
+        answers: list[tuple[int, Any]] = []
+        answer = lambda s, b: answers.append((s or 0, json.loads(b) if b else None))  # noqa: E731
         self.request_controller(node, method, path, body, answer)
-        begun = self.now
-        while not got and self.now - begun < 6:
+        asked_at = self.now
+        while not answers and self.now - asked_at < 6:
             self.run(0.02)
         if path.startswith("/api/jobs"):
-            told = got[0] if got else (0, None)
-            self.record_answer(self._about(path, body), *told, submitted=path == "/api/jobs")
-        if got and (method, path) == ("POST", "/api/sweeps") and got[0][0] in (200, 201):
+            answer_seen = answers[0] if answers else (0, None)
+            self.record_answer(
+                self._job_of_request(path, body), *answer_seen, submitted=path == "/api/jobs"
+            )
+        if answers and (method, path) == ("POST", "/api/sweeps") and answers[0][0] in (200, 201):
             self.accepted_sweeps.add(body["id"])
-        return got[0] if got else (0, None)
+        return answers[0] if answers else (0, None)
 
     @staticmethod
-    def _about(path: str, body: Any) -> str:
+    def _job_of_request(path: str, body: Any) -> str:
         if path == "/api/jobs":
             try:
-                told = json.loads(body) if isinstance(body, bytes) else body
+                submission = json.loads(body) if isinstance(body, bytes) else body
             except ValueError:
                 return ""
-            return str(told.get("nameId")) if isinstance(told, dict) else ""
+            return str(submission.get("nameId")) if isinstance(submission, dict) else ""
         return path.split("/")[3]
 
     def poll_jobs(self, interval_s: float = 5.0) -> None:
-        """From now on users ask for each accepted job every few seconds, at any controller."""
+        """From now on let users ask for each accepted job periodically, at random controllers."""
         for job_id in list(self.reported_states):
             if self.reported_states[job_id] not in ("done", "aborted"):
-                self._poll(job_id)
+                self._poll_job(job_id)
         self.call_later(interval_s, lambda: self.poll_jobs(interval_s))
 
-    def _poll(self, job_id: str) -> None:
-        told: list[int] = []
+    def _poll_job(self, job_id: str) -> None:
+        statuses: list[int] = []
 
         def answer(status: int | None, raw: bytes) -> None:
-            if not told:
-                told.append(status or 0)
+            if not statuses:
+                statuses.append(status or 0)
                 body = json.loads(raw) if raw else None
                 self.record_answer(job_id, status or 0, body, submitted=False)
 
@@ -361,21 +368,23 @@
         self.call_later(2.0, lambda: answer(None, b""))
 
     def add_spec(self, spec: dict[str, Any]) -> dict[str, Any]:
-        """Make a submission known to the workers."""
+        """Make a submission known to the workers and return it."""
         self.specs[spec["nameId"]] = spec
         return spec
 
     def submit(self, node: str, spec: dict[str, Any]) -> tuple[int, Any]:
+        """Submit a job to a controller and return the status and content of the answer."""
         return self.user_request(node, "POST", "/api/jobs", self.add_spec(spec))
 
     def machine_booted(self, name: str) -> None:
+        """Start the worker of a rented machine, unless the machine has been deleted."""
         if name in self.cloud.machines:
             self.cloud.machines[name]["standing"] = "running"
             self.workers[name] = FakeWorker(self, name, self.cloud.machines[name])
 
 
 def world_with_machines(count: int) -> World:
-    """Three controllers that are up, with small machines in two zones."""
+    """Return a world with three running controllers and small machines in two zones."""
     world = World()
     for i in range(count):
         world.cloud.start_machine("small", "ab"[i % 2], False)
@@ -383,7 +392,7 @@
     return world
 
 
-def job_state(w: World, node: str, job_id: str) -> str:
-    """What a node tells of a job: its state, or the status of a refusal."""
-    status, body = w.user_request(node, "GET", f"/api/jobs/{job_id}")
+def job_state(world: World, node: str, job_id: str) -> str:
+    """Return a job's state as a controller reports it, or the HTTP status of a refusal."""
+    status, body = world.user_request(node, "GET", f"/api/jobs/{job_id}")
     return body["standing"] if status == 200 else str(status)
