--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: each prints a table, with its baseline in the same run. None is part of CI."""
+"""Benchmarks, not run by CI. Each prints a table, with its baseline measured in the same run."""
--- a/bench/backlog.py
+++ b/bench/backlog.py
@@ -1,7 +1,7 @@
-"""What waiting jobs cost a controller: processor time a second and memory a job.
+"""Measures what waiting jobs cost a controller: CPU time per second, and memory per job.
 
-Jobs of two tasks wait for room on six machines, no new ones to be had; the in-memory world, all
-three controllers. Usage: python -m bench.backlog [JOBS...]
+Jobs of two tasks wait for room on six machines, and no machine can be rented; three controllers
+run in the simulated world. Usage: python -m bench.backlog [JOBS...]
 """
 
 import gc
@@ -20,29 +20,32 @@
 
 
 def measure_waiting_jobs(count: int, seconds: float = 10.0) -> tuple[float, int]:
-    """Milliseconds of processor time a second and controller, and how many jobs wait."""
-    w = World(node_count=3)
-    w.cloud.capacity = {"small": 6, "gpu": 0}
+    """Return milliseconds of CPU time per second and controller, and the number of known jobs."""
+    world = World(node_count=3)
+    world.cloud.capacity = {"small": 6, "gpu": 0}
     for number in range(6):
-        w.cloud.start_machine("small", "ab"[number % 2], False)
-    w.run(3)
-    for worker in w.workers.values():
+        world.cloud.start_machine("small", "ab"[number % 2], False)
+    world.run(3)
+    for worker in world.workers.values():
         worker.task_run_s = 4.0
-    # Written as accepted submissions are: a thousand users' patience is not what is measured.
+    # Job records are written directly, as the submissions themselves are not measured.
     for number in range(count):
-        spec = w.add_spec(_spec(number))
-        put = {"put": f"s/job/{spec['nameId']}", "v": {"spec": spec, "at": w.now + number / 1e4}}
-        w.state.commit({"if": [], "then": [put]})
-    w.run(5)
-    # Some tasks end all the time, so that there is room now and then.
-    with owner_cpu_time() as spent:
-        w.run(seconds)
-    return 1000 * spent[0] / seconds / 3, len(w.owners["n0"].jobs)
+        spec = world.add_spec(_spec(number))
+        put = {
+            "put": f"s/job/{spec['nameId']}",
+            "v": {"spec": spec, "at": world.now + number / 1e4},
+        }
+        world.state.commit({"if": [], "then": [put]})
+    world.run(5)
+    # Tasks end during the measurement, so that there is room from time to time.
+    with owner_cpu_time() as cpu_time_s:
+        world.run(seconds)
+    return 1000 * cpu_time_s[0] / seconds / 3, len(world.owners["n0"].jobs)
 
 
 def measure_bytes_per_job(count: int) -> float:
-    """Bytes that a waiting job takes in a controller: its record in the mirror, its job, its
-    places in the lines; the stand-ins are left out."""
+    """Return the bytes that a waiting job takes in a controller: its record in the mirror, its
+    job and its queue entries, without the fakes."""
     owner = Owner(controller_settings(0), Random(1), 0.0, 0.0)
     bodies = [
         msgspec.json.encode({"spec": _spec(number), "at": number / 1e3}) for number in range(count)
@@ -54,9 +57,9 @@
         value = owner.parse(key, msgspec.json.decode(body))
         owner.apply_event(Event(key, value, number + 1))
     gc.collect()
-    grown = tracemalloc.get_traced_memory()[0]
+    allocated_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return grown / count
+    return allocated_bytes / count
 
 
 def _spec(number: int) -> dict[str, Any]:
@@ -71,8 +74,8 @@
 
 
 if __name__ == "__main__":
-    print("jobs waiting  ms of processor a second and controller")
-    for wanted in [int(text) for text in sys.argv[1:]] or [200, 1000, 4000, 10000]:
-        cost, waiting = measure_waiting_jobs(wanted)
-        print(f"{waiting:>12}  {cost:.1f}", flush=True)
-    print(f"bytes a waiting job and controller: {measure_bytes_per_job(2000):.0f}")
+    print("jobs waiting  CPU ms per second and controller")
+    for job_count in [int(text) for text in sys.argv[1:]] or [200, 1000, 4000, 10000]:
+        cpu_ms, waiting = measure_waiting_jobs(job_count)
+        print(f"{waiting:>12}  {cpu_ms:.1f}", flush=True)
+    print(f"bytes per waiting job and controller: {measure_bytes_per_job(2000):.0f}")
--- a/bench/search.py
+++ b/bench/search.py
@@ -1,9 +1,9 @@
-"""A long search for histories of sweeps that break a rule or lose a point: the machine of
-tests/test_sweep_machine.py with new seeds.
+"""Searches long for histories of sweeps that break a rule or lose a point.
 
+Runs the state machine of tests/test_sweep_machine.py with new seeds.
 Usage: python -m bench.search [EXAMPLES [STEPS [shrink]]]
 
-A find is printed as the history that shows it (with `shrink`, the shortest); it becomes a story.
+A failing history is printed (with `shrink`, the shortest one found) and should become a test.
 """
 
 import sys
@@ -15,20 +15,20 @@
 
 
 def main() -> None:
-    """Search, and say how far."""
+    """Run the search and print how many histories passed."""
     examples = int(sys.argv[1]) if len(sys.argv) > 1 else 200
     steps = int(sys.argv[2]) if len(sys.argv) > 2 else 20
-    search = settings(
+    search_settings = settings(
         max_examples=examples,
         stateful_step_count=steps,
         deadline=None,
         database=None,
         suppress_health_check=list(HealthCheck),
-        # Shrinking takes longer than the search; a third argument asks for it.
+        # Shrinking takes longer than the search, so it is done only if a third argument is given.
         phases=[Phase.generate, *([Phase.shrink] if len(sys.argv) > 3 else [])],
     )
-    run_state_machine_as_test(SweepStateMachine, settings=search)  # type: ignore[no-untyped-call]
-    print(f"{examples} histories of up to {steps} steps: nothing found")
+    run_state_machine_as_test(SweepStateMachine, settings=search_settings)  # type: ignore[no-untyped-call]
+    print(f"{examples} histories of up to {steps} steps: no failure found")
 
 
 if __name__ == "__main__":
--- a/bench/sweeps.py
+++ b/bench/sweeps.py
@@ -78,7 +78,7 @@
 
     def cpu() -> float:
         total = 0.0
-        for node in lab.nodes:
+        for node in lab.processes:
             with open(f"/proc/{node.process.pid}/stat", encoding="ascii") as file:
                 fields = file.read().rpartition(")")[2].split()
             total += (int(fields[11]) + int(fields[12])) / 100
@@ -91,13 +91,13 @@
         idle = (cpu() - idle) / 4
         before, written, begun = cpu(), writes[0], lab.now
         body = {"id": "run-s", "space": f"x in 1..{count}", "job": point(reckonS=5.0)}
-        yield asked.user("POST", "/api/sweeps", body)
+        yield asked.user_request("POST", "/api/sweeps", body)
         number = 0
         while len([t for t in lab.completed_tasks if t.startswith("run-s.")]) < count:
             number += 1
             sent = lab.now
             other = {**point(outfit="blue"), "nameId": f"run-o{number}"}
-            yield asked.user("POST", "/api/jobs", other)
+            yield asked.user_request("POST", "/api/jobs", other)
             latencies.append(lab.now - sent)
             yield asked.pause(0.5)
             if lab.now - begun > 500:
--- a/bench/timing.py
+++ b/bench/timing.py
@@ -1,4 +1,4 @@
-"""How long owners take: processor time of all `Owner.handle` calls within a block."""
+"""Measures the CPU time of all `Owner.handle` calls within a block."""
 
 import time
 from collections.abc import Iterator
@@ -10,19 +10,19 @@
 
 @contextmanager
 def owner_cpu_time() -> Iterator[list[float]]:
-    """A list whose one figure grows by the seconds of processor time that owners take."""
-    spent = [0.0]
+    """Yield a list whose only element is the CPU time in seconds that owners have used so far."""
+    cpu_time_s = [0.0]
     handle = Owner.handle
 
-    def timed(self: Owner, *args: Any) -> Any:
-        begun = time.process_time()
+    def timed_handle(self: Owner, *args: Any) -> Any:
+        started_at = time.process_time()
         try:
             return handle(self, *args)
         finally:
-            spent[0] += time.process_time() - begun
+            cpu_time_s[0] += time.process_time() - started_at
 
-    Owner.handle = timed  # type: ignore[method-assign]
+    Owner.handle = timed_handle  # type: ignore[method-assign]
     try:
-        yield spent
+        yield cpu_time_s
     finally:
         Owner.handle = handle  # type: ignore[method-assign]
--- a/bench/troubles.py
+++ b/bench/troubles.py
@@ -1,26 +1,26 @@
-"""A long search with the machine of troubles: `python -m bench.troubles FIRST LAST [EXAMPLES]`.
+"""Searches long for faults that break a rule: `python -m bench.troubles FIRST LAST [EXAMPLES]`.
 
-Plays the histories of tests/test_trouble_machine.py with the seeds FIRST to LAST, EXAMPLES of each
-(100), of three controllers with odd seeds and of five with even ones, and prints a line for each
-seed; what breaks a rule is printed as its shortest history found.
+Runs the state machine of tests/test_trouble_machine.py with the seeds FIRST to LAST and EXAMPLES
+histories for each (default 100), with three controllers for odd seeds and five for even ones.
+Prints a line for each seed; a failure is printed as the shortest history found.
 """
 
 import sys
 import time
 
 from hypothesis import HealthCheck, Phase, seed
-from hypothesis import settings as how
+from hypothesis import settings as hypothesis_settings
 from hypothesis.stateful import run_state_machine_as_test
 
 from tests.test_trouble_machine import OfFive, Troubled
 
 
 def main(first: int, last: int, examples: int = 100) -> int:
-    """The number of seeds with a history that breaks a rule."""
-    broken = 0
+    """Run the seeds and return the number of those with a history that breaks a rule."""
+    failed_seed_count = 0
     for number in range(first, last + 1):
-        begun = time.perf_counter()
-        told = how(
+        started_at = time.perf_counter()
+        search_settings = hypothesis_settings(
             max_examples=examples,
             stateful_step_count=24,
             deadline=None,
@@ -31,14 +31,17 @@
         )
         try:
             machine = Troubled if number % 2 else OfFive
-            run_state_machine_as_test(seed(number)(machine), settings=told)
+            run_state_machine_as_test(seed(number)(machine), settings=search_settings)
         except Exception as error:
-            broken += 1
+            failed_seed_count += 1
             print(f"seed {number}: {type(error).__name__}: {error}", *error.__notes__, sep="\n")
         else:
-            took = time.perf_counter() - begun
-            print(f"seed {number}: {examples} histories, no rule broken, {took:.0f} s", flush=True)
-    return broken
+            elapsed_s = time.perf_counter() - started_at
+            print(
+                f"seed {number}: {examples} histories, no rule broken, {elapsed_s:.0f} s",
+                flush=True,
+            )
+    return failed_seed_count
 
 
 if __name__ == "__main__":
--- a/models/__init__.py
+++ b/models/__init__.py
@@ -1,1 +1,1 @@
-"""Small explicit-state models of sagecove's protocols, searched by the tests."""
+"""Explicit-state models of sagecove's protocols, which tests search exhaustively."""
--- a/tests/test_waste.py
+++ b/tests/test_waste.py
@@ -1,4 +1,7 @@
-"""Where started work went, read off the log of a played world."""
+"""Guards the sums of `sagecove lab waste`, which depend on the format of controllers' log lines.
+
+A simulated world writes the log: a service preempts one of four tasks, which starts again.
+"""
 
 import json
 import logging
@@ -11,7 +14,7 @@
 from sagecove.lab.world import World
 
 
-def test_waste_tells_what_was_stopped_and_what_was_done(
+def test_waste_counts_stopped_and_completed_tasks(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, capsys: pytest.CaptureFixture[str]
 ) -> None:
     caplog.set_level(logging.INFO, logger="sagecove")
@@ -25,7 +28,7 @@
     world.submit("n0", job_submission(1, hands=4, outfit="guests", herd="audits", rank="low"))
     world.run_until(lambda: world.running_task_count("run-000001") == 4, 10)
     world.run(4)
-    # A service stops one of them, which begins anew.
+    # A service preempts one of them, which starts again.
     world.submit("n0", job_submission(2, shape="service", herd="front", rank="production"))
     world.run_until(lambda: world.running_task_count("run-000002") == 1, 10)
     world.run_until(lambda: len(world.completed_tasks) == 4, 60)
@@ -34,20 +37,20 @@
     log = tmp_path / "log"
     log.write_text("".join(f"   12.5 n0 INFO {r.name} {r.getMessage()}\n" for r in caplog.records))
     assert main(["lab", "waste", str(log), "--json"]) == 0
-    told = json.loads(capsys.readouterr().out)
-    assert (told["starts"], told["thrown_away"], told["most_starts_of_a_task"]) == (6, 1, 2)
-    stopped = next(c for c in told["causes"] if c["cause"] == "stopped for another job")
+    report = json.loads(capsys.readouterr().out)
+    assert (report["starts"], report["thrown_away"], report["most_starts_of_a_task"]) == (6, 1, 2)
+    stopped = next(c for c in report["causes"] if c["cause"] == "stopped for another job")
     assert stopped["class"] == "audits" and stopped["ended"] == 1
-    # Two CPUs for some four to six seconds.
+    # Two CPUs for about four to six seconds.
     assert 6.0 < stopped["lost_cpu_s"] < 16.0
-    over = next(c for c in told["causes"] if c["class"] == "front")
+    over = next(c for c in report["causes"] if c["class"] == "front")
     assert over["cause"] == "its job is over" and over["lost_cpu_s"] == 0
-    assert {d["class"]: d["tasks"] for d in told["done"]} == {"audits": 4}
+    assert {d["class"]: d["tasks"] for d in report["done"]} == {"audits": 4}
     assert main(["lab", "waste", str(log)]) == 0
     assert "6 starts, 1 thrown away (16.7%)" in capsys.readouterr().out
 
 
-def test_waste_says_so_when_a_log_tells_nothing(
+def test_waste_fails_on_a_log_without_starts(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log = tmp_path / "log"
