--- a/tests/test_further_meetings.py
+++ b/tests/test_further_meetings.py
@@ -1,5 +1,7 @@
-"""The operators' further meetings that have no file of their own (docs/meetings.md has the table).
-World's rules are checked all along."""
+"""More combinations of simultaneous faults (table in docs/meetings.md).
+
+The simulator verifies the rules of the service after every step.
+"""
 
 from typing import Any
 
@@ -7,15 +9,15 @@
 
 from sagecove.lab.deployment import LEASE_S, REPORT_S, job_submission
 from sagecove.lab.world import World, job_state
-from tests.test_close_looks import looks
+from tests.test_close_looks import schedule_requests
 from tests.test_meetings import DOOMED, mine, others, settle, world
 from tests.test_old_reports import wait_for_takeover
 from tests.test_refused_leader import node_with_most_tasks
 
-ONE = "run-000001"
+JOB = "run-000001"
 
 
-def machines(w: World, count: int, zones: str = "ab") -> World:
+def start_machines(w: World, count: int, zones: str = "ab") -> World:
     w.cloud.capacity = {"small": count, "gpu": 0}
     for i in range(count):
         w.cloud.start_machine("small", zones[i % len(zones)], False)
@@ -23,50 +25,50 @@
     return w
 
 
-# -- the end of a job's last task, and users ------------------------------------------------------
+# -- user requests as a job's last task ends --
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("kinds", ["p", "c", "s", "pcs"])
 @pytest.mark.parametrize("shape, hands", [("sweep", 1), ("sweep", 3), ("ensemble", 2)])
-def test_users_ask_cancel_and_repeat_as_the_last_task_ends(
+def test_users_poll_cancel_and_resubmit_as_the_last_task_ends(
     shape: str, hands: int, kinds: str, nodes: int
 ) -> None:
     for step in range(-2, 14, 2 if kinds == "c" else 5):
-        w = machines(World(node_count=nodes), 2 * nodes)
+        w = start_machines(World(node_count=nodes), 2 * nodes)
         for worker in w.workers.values():
             worker.task_run_s = 3.0
         spec = job_submission(1, shape=shape, hands=hands, vcpus=1.0, memoryGb=1.0)
         assert w.submit("n0", spec)[0] == 201
-        w.run_until(lambda w=w: w.running_task_count(ONE) == hands, 10)
+        w.run_until(lambda w=w: w.running_task_count(JOB) == hands, 10)
         w.run(3.0 + 0.04 * step)
-        looks(w, spec, 0.08, 0.04, kinds)
+        schedule_requests(w, spec, 0.08, 0.04, kinds)
         w.run(1.0)
-        looks(w, spec, 3.0, 0.5, "ps")
+        schedule_requests(w, spec, 3.0, 0.5, "ps")
         w.faults_over_at = w.now
         w.run(4.0)
-        told = {job_state(w, node, ONE) for node in w.owners}
-        # Whatever came first holds, everywhere: done within three seconds, or cancelled.
-        assert told == {"done"} or ("c" in kinds and told == {"aborted"})
+        reported_states = {job_state(w, node, JOB) for node in w.owners}
+        # Whichever came first is reported by all nodes: done within three seconds, or cancelled.
+        assert reported_states == {"done"} or ("c" in kinds and reported_states == {"aborted"})
         w.run(3.0)
-        assert w.running_task_count(ONE) == 0
+        assert w.running_task_count(JOB) == 0
 
 
 @pytest.mark.parametrize("first", ["end", "cancellation"])
 @pytest.mark.parametrize("nodes", [3, 5])
-def test_the_end_and_a_cancellation_cross_at_the_state_service(nodes: int, first: str) -> None:
-    w = machines(World(node_count=nodes), 2 * nodes)
+def test_completion_and_cancellation_race_at_the_state_service(nodes: int, first: str) -> None:
+    w = start_machines(World(node_count=nodes), 2 * nodes)
     for worker in w.workers.values():
         worker.task_run_s = 3.0
     w.submit("n0", job_submission(1, hands=2, vcpus=1.0, memoryGb=1.0))
     held: list[dict[str, Any]] = []
 
-    def hook(node: str, body: dict[str, Any]) -> str | None:
-        state = next((c["v"] for c in body["then"] if c.get("put") == f"o/{ONE}"), None)
+    def delay_final_write(node: str, body: dict[str, Any]) -> str | None:
+        state = next((c["v"] for c in body["then"] if c.get("put") == f"o/{JOB}"), None)
         if state is None:
             return None
         if not held:
-            # The end is under way; whoever asks is told that it runs.
+            # The completion is not yet written; users are told that the job runs.
             held.append(body)
             return "lost"
         if len(held) == 1 and body["then"] != held[0]["then"]:
@@ -78,27 +80,27 @@
             return None
         return None if len(held) > 1 else "lost"
 
-    w.state.transaction_fault = hook
+    w.state.transaction_fault = delay_final_write
     w.run_until(lambda: bool(held), 20)
     for node in sorted(w.owners):
-        w.start_user_request(node, "POST", f"/api/jobs/{ONE}/cancel")
+        w.start_user_request(node, "POST", f"/api/jobs/{JOB}/cancel")
     w.run(1.0)
     for _ in range(5):
-        told = {job_state(w, node, ONE) for node in w.owners}
-        assert told == ({"done"} if first == "end" else {"aborted"})
+        reported_states = {job_state(w, node, JOB) for node in w.owners}
+        assert reported_states == ({"done"} if first == "end" else {"aborted"})
         w.run(1.0)
 
 
-# -- more work than room over slow links ----------------------------------------------------------
+# -- overload over slow links --
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("link_s", [0.2, 0.8, 1.5])
 @pytest.mark.parametrize("change", ["nothing", "ends", "cancels"])
-def test_more_work_than_room_urgent_and_not_over_slow_links(
+def test_overload_of_mixed_priorities_over_slow_links(
     change: str, link_s: float, nodes: int
 ) -> None:
-    w = machines(World(node_count=nodes), 9)
+    w = start_machines(World(node_count=nodes), 9)
     w.link_delay_s = link_s
     for n in range(1, 9):
         rank, outfit = ("urgent", "red") if n % 3 == 0 else ("low", "guests")
@@ -121,7 +123,7 @@
     w.check_served()
 
 
-# -- a zone that loses machines -------------------------------------------------------------------
+# -- a zone that loses machines --
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
@@ -130,19 +132,29 @@
     "bound", [{"range": "a"}, {"samePlace": True}, {"range": "a", "samePlace": True}]
 )
 @pytest.mark.parametrize("lost", ["power", "cut"])
-def test_jobs_bound_to_one_zone_lose_machines(
+def test_jobs_restricted_to_one_zone_lose_machines(
     lost: str, bound: dict[str, Any], shape: str, nodes: int
 ) -> None:
-    w = machines(World(node_count=nodes), 10, "aab")
+    w = start_machines(World(node_count=nodes), 10, "aab")
     for worker in w.workers.values():
         worker.task_run_s = 20.0
     w.submit("n0", job_submission(1, shape=shape, hands=8, vcpus=1.0, memoryGb=1.0, **bound))
-    w.run_until(lambda: w.running_task_count(ONE) == 8, 60)
+    w.run_until(lambda: w.running_task_count(JOB) == 8, 60)
     w.poll_jobs()
-    zone = next(v.cloud_record["range"] for v in w.workers.values() if v.live_tasks())
-    hit = [v for v in w.workers.values() if v.cloud_record["range"] == zone and v.live_tasks()][:2]
-    hit += [v for v in w.workers.values() if v.cloud_record["range"] == zone and v not in hit][:1]
-    for worker in hit:
+    zone = next(
+        worker.cloud_record["range"] for worker in w.workers.values() if worker.live_tasks()
+    )
+    lost_workers = [
+        worker
+        for worker in w.workers.values()
+        if worker.cloud_record["range"] == zone and worker.live_tasks()
+    ][:2]
+    lost_workers += [
+        worker
+        for worker in w.workers.values()
+        if worker.cloud_record["range"] == zone and worker not in lost_workers
+    ][:1]
+    for worker in lost_workers:
         if lost == "power":
             worker.dead, worker.tasks = True, {}
         else:
@@ -150,24 +162,24 @@
     w.cloud.capacity = {"small": 16, "gpu": 0}
     w.run(0.6 * LEASE_S)
     w.run(LEASE_S)
-    for worker in hit:
+    for worker in lost_workers:
         if lost == "cut":
             worker.reconnect()
     w.faults_over_at = w.now
     if shape == "service":
-        w.run_until(lambda: w.running_task_count(ONE) == 8, 120)
+        w.run_until(lambda: w.running_task_count(JOB) == 8, 120)
     else:
-        w.run_until(lambda: job_state(w, "n1", ONE) == "done", 200)
+        w.run_until(lambda: job_state(w, "n1", JOB) == "done", 200)
 
 
-# -- leaders change again and again ---------------------------------------------------------------
+# -- repeated changes of leader --
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("every", [4.0, 0.75 * LEASE_S, 12.0])
 @pytest.mark.parametrize("outage", [False, True])
 @pytest.mark.parametrize("back_s", [0.4, 3.0, LEASE_S])
-def test_leaders_change_ten_times_in_two_minutes_also_inside_an_outage(
+def test_leaders_change_ten_times_also_during_an_outage(
     back_s: float, outage: bool, every: float, nodes: int
 ) -> None:
     w = world([], nodes)
@@ -184,77 +196,79 @@
     settle(w, 4 * LEASE_S)
 
 
-# -- machines that reach no controller ------------------------------------------------------------
+# -- machines that reach no controller --
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("seconds", [4.0, 0.8 * LEASE_S, 1.5 * LEASE_S, 5 * LEASE_S])
 @pytest.mark.parametrize("change", ["nothing", "ends", "cancelled"])
-def test_workers_reach_no_controller_while_direct_commands_reach_them(
+def test_workers_reach_no_controller_but_receive_direct_commands(
     change: str, seconds: float, nodes: int
 ) -> None:
     w = world([], nodes)
     lead = node_with_most_tasks(w, DOOMED)
-    far = [worker for worker in mine(w, lead) if worker.tasks][:2]
+    cut_workers = [worker for worker in mine(w, lead) if worker.tasks][:2]
     w.cloud.capacity["small"] = 3 * nodes + 2
-    for worker in far:
+    for worker in cut_workers:
         w.send_blocked_machines.add(worker.name)
     w.run(1.0)
     if change == "ends":
         w.kill_node(lead)
     elif change == "cancelled":
         w.user_request(others(w, lead)[0], "POST", f"/api/jobs/{DOOMED}/cancel")
-    silent = w.owners[others(w, lead)[0]].workers.silence_limit_s
-    begun = w.now
+    silence_limit_s = w.owners[others(w, lead)[0]].workers.silence_limit_s
+    submitted_at = w.now
     w.submit(others(w, lead)[0], job_submission(3, hands=4, vcpus=0.5, memoryGb=0.5))
     w.run(seconds)
-    # A command's answer is no report: little is begun there, and nothing once it counts as silent.
-    quiet = {worker.name for worker in far}
-    there = [at for at, _, name in w.task_starts if name in quiet and at > begun]
-    assert all(at - begun < silent + 2 * REPORT_S for at in there)
+    # An answer to a command is no report: only few tasks start on these machines, and none once
+    # they are considered silent.
+    cut_names = {worker.name for worker in cut_workers}
+    start_times = [at for at, _, name in w.task_starts if name in cut_names and at > submitted_at]
+    assert all(at - submitted_at < silence_limit_s + 2 * REPORT_S for at in start_times)
     w.send_blocked_machines.clear()
     settle(w, 4 * LEASE_S)
     w.run_until(lambda: job_state(w, "n0", "run-000003") == "done", 75)
-    # They came back with a session of their own, or were returned.
-    for worker in far:
+    # They came back with a new lease, or were returned.
+    for worker in cut_workers:
         assert worker.dead or worker.lease_started_at > w.now - LEASE_S
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("lost", ["mute", "power"])
-def test_work_sent_to_a_machine_that_reaches_nobody_begins_elsewhere(lost: str, nodes: int) -> None:
-    # It is the only one with room, and takes what it is sent.
-    w = machines(World(node_count=nodes), 6)
+def test_tasks_placed_on_an_unreachable_machine_start_elsewhere(lost: str, nodes: int) -> None:
+    # The unreachable machine is the only one with room, and it executes what it receives.
+    w = start_machines(World(node_count=nodes), 6)
     for worker in w.workers.values():
         worker.task_run_s = 25.0
     filling = {"shape": "service", "rank": "production", "outfit": "guests", "vcpus": 4.0}
     w.submit("n0", job_submission(1, hands=5, **filling))
-    w.run_until(lambda: w.running_task_count(ONE) == 5, 60)
+    w.run_until(lambda: w.running_task_count(JOB) == 5, 60)
     w.run(3)
     w.cloud.capacity["small"] = 12
-    last = next(worker for worker in w.workers.values() if not worker.live_tasks())
+    last_worker = next(worker for worker in w.workers.values() if not worker.live_tasks())
     if lost == "mute":
-        w.send_blocked_machines.add(last.name)
+        w.send_blocked_machines.add(last_worker.name)
     else:
-        last.dead = True
+        last_worker.dead = True
     w.run(0.5)
     w.submit(
         "n1", job_submission(2, hands=4, vcpus=1.0, memoryGb=1.0, outfit="guests", reckonS=25.0)
     )
     w.run_until(
-        lambda: w.running_task_count("run-000002") == 4 and not last.live_tasks(), 3 * LEASE_S
+        lambda: w.running_task_count("run-000002") == 4 and not last_worker.live_tasks(),
+        3 * LEASE_S,
     )
     w.run_until(lambda: job_state(w, "n0", "run-000002") == "done", 45)
-    w.run_until(lambda: last.name in w.cloud.deleted_names, 8 * LEASE_S)
+    w.run_until(lambda: last_worker.name in w.cloud.deleted_names, 8 * LEASE_S)
 
 
-# -- a zone with workers and a controller is cut off ----------------------------------------------
+# -- a zone with workers and a controller is cut off --
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("seconds", [0.8 * LEASE_S, 1.3 * LEASE_S, 3 * LEASE_S])
 @pytest.mark.parametrize("cancel", [False, True])
-def test_a_zone_with_workers_and_a_controller_is_cut_off(
+def test_zone_with_workers_and_a_controller_is_cut_off(
     cancel: bool, seconds: float, nodes: int
 ) -> None:
     w = world([], nodes)
@@ -273,13 +287,13 @@
     settle(w, 4 * LEASE_S)
 
 
-# -- all controllers are away ---------------------------------------------------------------------
+# -- all controllers are down --
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("away_s", [0.9 * LEASE_S, 1.1 * LEASE_S, 2.5 * LEASE_S])
 @pytest.mark.parametrize("back", ["together", "apart", "one"])
-def test_all_controllers_are_away_for_longer_than_a_lease(
+def test_all_controllers_are_down_for_about_a_lease_or_longer(
     back: str, away_s: float, nodes: int
 ) -> None:
     w = world([], nodes)
@@ -301,13 +315,13 @@
     w.run_until(lambda: job_state(w, "n1", "run-000003") == "done", 75)
 
 
-# -- hand-over and back within a second -----------------------------------------------------------
+# -- handover interrupted for less than a second --
 
 
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("back_s", [0.02, 0.3, 0.7])
 @pytest.mark.parametrize("step", [0.0, 0.1, 0.2, 0.4, 0.8])
-def test_a_shard_is_handed_back_all_end_and_one_returns_within_a_second(
+def test_all_controllers_end_during_a_handover_and_one_returns_within_a_second(
     step: float, back_s: float, nodes: int
 ) -> None:
     w = world([], nodes)
--- a/tests/test_known.py
+++ b/tests/test_known.py
@@ -1,5 +1,8 @@
-"""Every accepted job stays known and is served: the checks themselves, then controllers that end
-between any two effects and are back within a second, or are alone with their workers."""
+"""Accepted jobs are neither forgotten nor left unserved.
+
+First the checks of the simulator are tested themselves. Then controllers end between any two
+effects and restart within a second, or reach only their workers.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,179 +13,195 @@
 from sagecove.lab.rule_checker import UNANSWERED_LIMIT_S, RuleViolation
 from sagecove.lab.world import World, job_state, world_with_machines
 
-# -- the checks find what they are for -----------------------------------------------------------
+# -- tests of the checks --
 
 
-def test_a_job_of_which_no_question_is_answered_is_found_however_others_fare() -> None:
-    w = world_with_machines(4)
+def test_checker_finds_a_job_whose_status_requests_stay_unanswered() -> None:
+    world = world_with_machines(4)
     for n in (1, 2):
-        w.submit("n0", job_submission(n, shape="service", hands=1))
-    for owner in w.owners.values():
-        real = owner.users.status
+        world.submit("n0", job_submission(n, shape="service", hands=1))
+    for owner in world.owners.values():
+        original = owner.users.status
         owner.users.status = (  # type: ignore[method-assign]
-            lambda name, exchange, real=real: None if name == "run-000001" else real(name, exchange)
+            lambda name, exchange, original=original: (
+                None if name == "run-000001" else original(name, exchange)
+            )
         )
-    w.poll_jobs()
-    w.run(UNANSWERED_LIMIT_S + 20)
-    # Troubles are not over: nothing is held against anybody yet.
-    w.faults_over_at = w.now
+    world.poll_jobs()
+    world.run(UNANSWERED_LIMIT_S + 20)
+    # Faults are not over yet, so missing answers are not violations.
+    world.faults_over_at = world.now
     with pytest.raises(RuleViolation, match="forgotten run-000001"):
-        w.run(UNANSWERED_LIMIT_S + 20)
+        world.run(UNANSWERED_LIMIT_S + 20)
 
 
-def test_a_class_a_team_and_the_largest_that_are_not_served_are_found() -> None:
-    w = world_with_machines(4)
-    w.cloud.capacity = {"small": 4, "gpu": 0}
-    w.submit("n0", job_submission(1, herd="x", hands=2))
-    w.run_until(lambda: len(w.completed_tasks) == 2, 30)
-    assert w.served_shares() == {"x": 1.0}
-    w.check_served()
-    owner = w.owners["n1"]
+def test_checker_finds_job_classes_and_teams_that_are_not_served() -> None:
+    world = world_with_machines(4)
+    world.cloud.capacity = {"small": 4, "gpu": 0}
+    world.submit("n0", job_submission(1, herd="x", hands=2))
+    world.run_until(lambda: len(world.completed_tasks) == 2, 30)
+    assert world.served_shares() == {"x": 1.0}
+    world.check_served()
+    owner = world.owners["n1"]
     owner.scheduling_pass.run = lambda now: None  # type: ignore[method-assign]
     for other in ("n0", "n2"):
-        w.kill_node(other)
-    w.submit("n1", job_submission(2, herd="x", hands=20))
-    w.submit("n1", job_submission(3, herd="y", outfit="blue"))
-    assert w.served_shares()["largest x"] == 0.0 and w.served_shares("outfit")["blue"] == 0.0
+        world.kill_node(other)
+    world.submit("n1", job_submission(2, herd="x", hands=20))
+    world.submit("n1", job_submission(3, herd="y", outfit="blue"))
+    assert (
+        world.served_shares()["largest x"] == 0.0 and world.served_shares("outfit")["blue"] == 0.0
+    )
     with pytest.raises(RuleViolation, match="served"):
-        w.check_served()
+        world.check_served()
 
 
-# -- back at once, at every point ----------------------------------------------------------------
+# -- restarts at every point --
 
 BACK_S = (0.05, 0.2, 0.45, 0.9)
 
 
-def persist(w: World, method: str, path: str, body: Any = b"") -> None:
-    """As users do: until it is answered."""
-    begun = w.now
-    node = w.random.choice(sorted(w.inboxes))
-    while w.user_request(node, method, path, body)[0] not in (200, 201):
-        assert w.now - begun < UNANSWERED_LIMIT_S
-        w.run(1.0)
-        node = w.random.choice(sorted(w.inboxes))
+def retry_until_accepted(world: World, method: str, path: str, body: Any = b"") -> None:
+    """Repeat a request at random nodes until it succeeds, as users do."""
+    started_at = world.now
+    node = world.random.choice(sorted(world.inboxes))
+    while world.user_request(node, method, path, body)[0] not in (200, 201):
+        assert world.now - started_at < UNANSWERED_LIMIT_S
+        world.run(1.0)
+        node = world.random.choice(sorted(world.inboxes))
 
 
-def play(w: World) -> None:
-    """Submit, run, cancel, finish: with a gang, an array, a service."""
-    persist(w, "POST", "/api/jobs", w.add_spec(job_submission(1, hands=4)))
-    persist(
-        w,
+def run_scenario(world: World) -> None:
+    """Submit, run, cancel and finish an array, a gang and a service."""
+    retry_until_accepted(world, "POST", "/api/jobs", world.add_spec(job_submission(1, hands=4)))
+    retry_until_accepted(
+        world,
         "POST",
         "/api/jobs",
-        w.add_spec(job_submission(2, shape="ensemble", hands=3, rank="urgent")),
+        world.add_spec(job_submission(2, shape="ensemble", hands=3, rank="urgent")),
     )
-    persist(
-        w,
+    retry_until_accepted(
+        world,
         "POST",
         "/api/jobs",
-        w.add_spec(job_submission(3, shape="service", hands=2, rank="production")),
+        world.add_spec(job_submission(3, shape="service", hands=2, rank="production")),
     )
-    w.run(4)
-    persist(w, "POST", "/api/jobs/run-000003/cancel")
-    w.run_until(lambda: len(w.completed_tasks) >= 7, 75)
-    w.faults_over_at = w.now
-    for node in sorted(w.owners):
+    world.run(4)
+    retry_until_accepted(world, "POST", "/api/jobs/run-000003/cancel")
+    world.run_until(lambda: len(world.completed_tasks) >= 7, 75)
+    world.faults_over_at = world.now
+    for node in sorted(world.owners):
         for n, state in ((1, "done"), (2, "done"), (3, "aborted")):
-            w.run_until(lambda node=node, n=n, s=state: job_state(w, node, f"run-{n:06d}") == s, 30)
-    w.check_served()
+            world.run_until(
+                lambda node=node, n=n, s=state: job_state(world, node, f"run-{n:06d}") == s, 30
+            )
+    world.check_served()
 
 
-def commits(w: World, play: Callable[[World], None]) -> int:
-    """How many transactions a story makes when nothing fails."""
+def count_transactions(world: World, run_scenario: Callable[[World], None]) -> int:
+    """Count the transactions of a scenario without faults."""
     count = [0]
 
-    def counted(node: str, body: dict[str, Any]) -> None:
+    def count_transaction(node: str, body: dict[str, Any]) -> None:
         count[0] += 1
 
-    w.state.transaction_fault = counted
-    play(w)
+    world.state.transaction_fault = count_transaction
+    run_scenario(world)
     return count[0]
 
 
-@pytest.mark.parametrize("twice", [False, True])
+@pytest.mark.parametrize("two_restarts", [False, True])
 @pytest.mark.parametrize("executed", [True, False])
-def test_a_controller_that_ends_with_any_transaction_and_is_back_at_once(
-    executed: bool, twice: bool
-) -> None:
-    for point in range(0, commits(world_with_machines(6), play), 2 if twice else 1):
-        w = world_with_machines(6)
-        seen = [0]
-
-        def ends(
-            node: str, body: dict[str, Any], w: World = w, seen: list[int] = seen, at: int = point
+def test_controller_restarts_at_any_transaction(executed: bool, two_restarts: bool) -> None:
+    for index in range(
+        0, count_transactions(world_with_machines(6), run_scenario), 2 if two_restarts else 1
+    ):
+        world = world_with_machines(6)
+        transaction_count = [0]
+
+        def kill_sender(
+            node: str,
+            body: dict[str, Any],
+            world: World = world,
+            transaction_count: list[int] = transaction_count,
+            at: int = index,
         ) -> str | None:
-            seen[0] += 1
-            if seen[0] - 1 not in ((at, at + 2) if twice else (at,)) or node not in w.owners:
+            transaction_count[0] += 1
+            if (
+                transaction_count[0] - 1 not in ((at, at + 2) if two_restarts else (at,))
+                or node not in world.owners
+            ):
                 return None
-            # It ends between this effect and whatever would have been the next; what it had sent
-            # is executed, or is not.
-            w.call_later(0.0, lambda: w.owners.pop(node, None))
+            # The controller ends after this effect and before the next; the transaction that it
+            # sent is executed or lost.
+            world.call_later(0.0, lambda: world.owners.pop(node, None))
             back_s = BACK_S[at % len(BACK_S)]
-            w.call_later(back_s, lambda: None if node in w.owners else w.start_node(int(node[1:])))
+            world.call_later(
+                back_s, lambda: None if node in world.owners else world.start_node(int(node[1:]))
+            )
             return "unanswered" if executed else "lost"
 
-        w.state.transaction_fault = ends
-        w.poll_jobs()
-        play(w)
+        world.state.transaction_fault = kill_sender
+        world.poll_jobs()
+        run_scenario(world)
 
 
 @pytest.mark.parametrize("back_s", BACK_S)
 @pytest.mark.parametrize("phase", [0.0, 0.3, 0.8, 2.0, 5.0, 7.9, 8.3])
-def test_a_taker_and_the_one_it_takes_from_are_back_in_the_middle_of_it(
-    phase: float, back_s: float
-) -> None:
-    # The shard of one is about to be taken, or has just been: now the other two end as well.
-    w = world_with_machines(9)
-    w.submit("n0", job_submission(1, shape="service", hands=9))
-    w.run_until(lambda: w.running_task_count("run-000001") == 9, 60)
-    starts = len(w.task_starts)
-    w.dead_nodes_refuse = True
-    w.kill_node("n0")
-    w.run(phase)
+def test_all_controllers_restart_during_a_takeover(phase: float, back_s: float) -> None:
+    # The shard of n0 is about to be taken over, or was just taken; now the others end as well.
+    world = world_with_machines(9)
+    world.submit("n0", job_submission(1, shape="service", hands=9))
+    world.run_until(lambda: world.running_task_count("run-000001") == 9, 60)
+    starts = len(world.task_starts)
+    world.dead_nodes_refuse = True
+    world.kill_node("n0")
+    world.run(phase)
     for name in ("n1", "n2"):
-        w.kill_node(name)
-        w.call_later(back_s, lambda name=name: w.start_node(int(name[1:])))
-    w.run(back_s / 2)
-    w.start_node(0)
-    w.run(3 * LEASE_S)
-    assert w.running_task_count("run-000001") == 9 and len(w.owners) == 3
-    assert {s for o in w.owners.values() for s in o.shards.active_shards(w.now)} == set(w.owners)
-    # The one whose shard had not been taken yet had been silent for that long.
+        world.kill_node(name)
+        world.call_later(back_s, lambda name=name: world.start_node(int(name[1:])))
+    world.run(back_s / 2)
+    world.start_node(0)
+    world.run(3 * LEASE_S)
+    assert world.running_task_count("run-000001") == 9 and len(world.owners) == 3
+    assert {s for o in world.owners.values() for s in o.shards.active_shards(world.now)} == set(
+        world.owners
+    )
+    # Later, a shard that had not been taken over has had no active holder for too long.
     if phase < 5.0:
-        assert len(w.task_starts) == starts
+        assert len(world.task_starts) == starts
 
 
-# -- alone with its workers ----------------------------------------------------------------------
+# -- controllers that reach only their workers --
 
 
-@pytest.mark.parametrize("alone", [["n0"], ["n0", "n1"]])
+@pytest.mark.parametrize("isolated", [["n0"], ["n0", "n1"]])
 @pytest.mark.parametrize("seconds", [2.0, 6.0, 9.0, 14.0, 30.0])
 @pytest.mark.parametrize("refusing", [False, True])
-def test_a_controller_that_has_only_its_workers_left_loses_no_session(
-    alone: list[str], seconds: float, refusing: bool
+def test_controller_that_reaches_only_its_workers_loses_no_session(
+    isolated: list[str], seconds: float, refusing: bool
 ) -> None:
-    w = world_with_machines(9)
-    w.submit("n0", job_submission(1, shape="service", hands=9))
-    w.run_until(lambda: w.running_task_count("run-000001") == 9, 60)
-    w.run(3)
-    starts = len(w.task_starts)
-    others = [n for n in w.owners if n not in alone]
-    for name in alone:
-        w.isolate_node(name, refusing)
-    begun = w.now
-    w.run(seconds)
+    world = world_with_machines(9)
+    world.submit("n0", job_submission(1, shape="service", hands=9))
+    world.run_until(lambda: world.running_task_count("run-000001") == 9, 60)
+    world.run(3)
+    starts = len(world.task_starts)
+    others = [n for n in world.owners if n not in isolated]
+    for name in isolated:
+        world.isolate_node(name, refusing)
+    started_at = world.now
+    world.run(seconds)
     if seconds > 9:
-        # It stopped by its own estimate, sends its workers on, and says so to users and balancer.
-        for name in alone:
-            assert not w.owners[name].shards.active_shards(w.now)
-            assert w.user_request(name, "GET", "/ready")[0] == 503
-            assert job_state(w, name, "run-000001") == "503"
-        acting = {s for n in others for s in w.owners[n].shards.active_shards(w.now)}
-        assert acting == set(w.owners)
-    w.cut_links.clear()
-    w.state.refused_nodes.clear()
-    w.run(2 * LEASE_S)
-    assert w.now - begun > seconds
-    assert w.running_task_count("run-000001") == 9 and len(w.task_starts) == starts
-    assert all(worker.session == 1 for worker in w.workers.values())
+        # It stopped by its own estimate, redirects its workers, and answers 503 to users and to the
+        # load balancer.
+        for name in isolated:
+            assert not world.owners[name].shards.active_shards(world.now)
+            assert world.user_request(name, "GET", "/ready")[0] == 503
+            assert job_state(world, name, "run-000001") == "503"
+        acting = {s for n in others for s in world.owners[n].shards.active_shards(world.now)}
+        assert acting == set(world.owners)
+    world.cut_links.clear()
+    world.state.refused_nodes.clear()
+    world.run(2 * LEASE_S)
+    assert world.now - started_at > seconds
+    assert world.running_task_count("run-000001") == 9 and len(world.task_starts) == starts
+    assert all(worker.session == 1 for worker in world.workers.values())
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -1,5 +1,8 @@
-"""Two troubles at once, meeting by meeting (docs/meetings.md). World's rules are checked all along;
-each story is played with and without copies of reports that come again much later."""
+"""Combinations of two simultaneous faults (table in docs/meetings.md).
+
+The simulator verifies the rules of the service after every step. Most tests run with and without
+duplicates of reports that arrive much later.
+"""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,7 +12,7 @@
 from sagecove.lab.deployment import CANCEL_S, LEASE_S, REPORT_S, job_submission
 from sagecove.lab.fakes import FakeWorker
 from sagecove.lab.world import World, job_state
-from tests.test_known import persist
+from tests.test_known import retry_until_accepted
 from tests.test_refused_leader import node_with_most_tasks, use_deployment_timing
 
 LONG, DOOMED = "run-000001", "run-000002"
@@ -17,7 +20,7 @@
 
 
 def world(copies: list[float], nodes: int = 3) -> World:
-    """Each machine with tasks of a service that stays and of one that is to be cancelled."""
+    """Build a world whose machines run a service that stays (LONG) and one to cancel (DOOMED)."""
     w = World(node_count=nodes)
     w.cloud.capacity = {"small": 3 * nodes, "gpu": 0}
     for i in range(3 * nodes):
@@ -41,13 +44,13 @@
 
 
 def mine(w: World, node: str) -> list[FakeWorker]:
-    """The machines of a controller's own shard."""
+    """Return the workers of a controller's own shard."""
     shards = {m.name for m in w.owners[node].machines.values() if m.record.shard == node}
     return [worker for name, worker in w.workers.items() if name in shards]
 
 
 def settle(w: World, seconds: float = 3 * LEASE_S) -> None:
-    """All troubles are over: all is known, what is wanted runs, what was cancelled does not."""
+    """End all faults; check that wanted jobs run, cancelled ones don't, and shards are active."""
     w.cut_links.clear()
     w.receive_blocked_machines.clear()
     w.state.refused_nodes.clear()
@@ -68,24 +71,24 @@
     assert sorted(acting) == sorted(w.owners)
 
 
-# -- alone with workers and users ----------------------------------------------------------------
+# -- controllers that reach only workers and users --
 
 
 @pytest.mark.parametrize("copies", COPIES)
 @pytest.mark.parametrize("nodes", [3, 5])
 @pytest.mark.parametrize("refusing", [False, True])
 @pytest.mark.parametrize("cancel_at", [0.3, 5.0, 12.0])
-def test_jobs_are_cancelled_through_another_while_one_is_alone_with_workers_and_users(
+def test_cancellation_through_a_peer_while_the_leader_reaches_only_workers_and_users(
     cancel_at: float, refusing: bool, nodes: int, copies: str
 ) -> None:
     w = world(COPIES[copies], nodes)
     lead = node_with_most_tasks(w, DOOMED)
     w.isolate_node(lead, refusing)
     w.run(cancel_at)
-    persist_at(w, others(w, lead)[0])
+    cancel_until_confirmed(w, others(w, lead)[0])
     for _ in range(int(1.2 * CANCEL_S / 4)):
         w.run(4)
-        # What it tells is no older than what the other told, or nothing.
+        # Its answer is no older than what the other node reported, or it gives none.
         assert job_state(w, lead, DOOMED) in ("503", "aborted")
     assert w.running_task_count(DOOMED) == 0 and w.running_task_count(LONG) == 2 * nodes
     settle(w)
@@ -94,7 +97,7 @@
 @pytest.mark.parametrize("alone", [["n0"], ["n0", "n1"]])
 @pytest.mark.parametrize("seconds", [2.0, 5.0, 8.0, 14.0, 35.0])
 @pytest.mark.parametrize("refusing", [False, True])
-def test_alone_with_workers_at_the_tightest_settings_no_session_is_lost(
+def test_isolated_controllers_lose_no_session_with_the_tightest_timing(
     refusing: bool, seconds: float, alone: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_deployment_timing(monkeypatch, "annex")
@@ -111,20 +114,20 @@
     assert all(worker.session == 1 for worker in w.workers.values())
 
 
-def persist_at(w: World, node: str, name: str = DOOMED) -> None:
+def cancel_until_confirmed(w: World, node: str, name: str = DOOMED) -> None:
     begun = w.now
     while w.user_request(node, "POST", f"/api/jobs/{name}/cancel")[0] != 200:
         assert w.now - begun < 75
         w.run(0.5)
 
 
-# -- a slow state service ------------------------------------------------------------------------
+# -- a slow state service --
 
 
 @pytest.mark.parametrize("copies", COPIES)
 @pytest.mark.parametrize("slow_s", [0.2, 1.0, 2.0, 5.0])
 @pytest.mark.parametrize("then_down", [False, True])
-def test_users_cancel_and_ask_while_the_state_service_is_slow_and_then_refuses(
+def test_cancellation_while_the_state_service_is_slow_and_then_refuses(
     slow_s: float, then_down: bool, copies: str
 ) -> None:
     w = world(COPIES[copies])
@@ -144,44 +147,44 @@
         w.state.set_outage(True)
     w.run(1.3 * CANCEL_S)
     settle(w)
-    persist_at(w, lead)
+    cancel_until_confirmed(w, lead)
 
 
 @pytest.mark.parametrize("slow_s", [0.2, 1.0, 2.0])
-def test_leases_and_reads_are_believed_no_longer_than_they_last(slow_s: float) -> None:
-    # Dated from when its renewal was sent: the answer may have taken all this time.
+def test_leases_and_reads_are_dated_from_their_request(slow_s: float) -> None:
+    # A lease counts from when its renewal was sent, since the answer may have taken all this time.
     w = world([])
     w.state.answer_delay_s = slow_s
     for _ in range(100):
         w.state.commit({"if": [], "then": [{"put": "s/note", "v": {}}]})
-        changed, at = w.state.ledger, w.now
+        changed, sent_at = w.state.ledger, w.now
         w.run(0.2)
         for owner in w.owners.values():
-            # A read counts from when it was sent, too: all of before is in it.
-            assert owner.sync.synced_at <= at or owner.mirror.applied >= changed
+            # A read counts from when it was sent, too: it contains every earlier change.
+            assert owner.sync.synced_at <= sent_at or owner.mirror.applied >= changed
             lease = owner.leadership.lease_id
             if lease is not None and w.now < owner.leadership.lease_until:
                 assert owner.leadership.lease_until <= w.state.leases[lease][0]
 
 
-# -- commands that are held up -------------------------------------------------------------------
+# -- delayed direct commands --
 
 
-def cancelled(w: World, lead: str) -> None:
-    persist_at(w, others(w, lead)[0])
+def cancel_job(w: World, lead: str) -> None:
+    cancel_until_confirmed(w, others(w, lead)[0])
 
 
-def holder_restarts(w: World, lead: str) -> None:
+def restart_holder(w: World, lead: str) -> None:
     w.kill_node(lead)
     w.run(0.3)
     w.start_node(int(lead[1:]))
 
 
-def holder_ends(w: World, lead: str) -> None:
+def kill_holder(w: World, lead: str) -> None:
     w.kill_node(lead)
 
 
-def sessions_end(w: World, lead: str) -> None:
+def expire_worker_sessions(w: World, lead: str) -> None:
     for worker in mine(w, lead):
         worker.isolated = True
     w.run(1.2 * LEASE_S)
@@ -189,30 +192,37 @@
         worker.isolated = False
 
 
-def nobody_is_served(w: World, lead: str) -> None:
-    cancelled(w, lead)
+def cancel_and_stop_state_service(w: World, lead: str) -> None:
+    cancel_job(w, lead)
     w.state.set_outage(True)
 
 
 @pytest.mark.parametrize("copies", COPIES)
 @pytest.mark.parametrize("held_s", [1.0, 6.0, 20.0, 1.2 * CANCEL_S])
 @pytest.mark.parametrize(
-    "event", [cancelled, holder_restarts, holder_ends, sessions_end, nobody_is_served]
+    "event",
+    [
+        cancel_job,
+        restart_holder,
+        kill_holder,
+        expire_worker_sessions,
+        cancel_and_stop_state_service,
+    ],
 )
-def test_commands_are_held_up_and_the_machine_goes_on(
+def test_direct_commands_are_delayed_while_reports_continue(
     event: Callable[[World, str], None], held_s: float, copies: str
 ) -> None:
     w = world(COPIES[copies])
     lead = node_with_most_tasks(w, DOOMED)
-    held = mine(w, lead)
-    for worker in held:
+    blocked_workers = mine(w, lead)
+    for worker in blocked_workers:
         worker.direct_commands_blocked = True
-    # Launches for what comes, halts for what is cancelled, reaps for what is done.
+    # Delayed: launches of new tasks, halts of cancelled ones, reaps of finished ones.
     w.submit(lead, job_submission(3, hands=3, vcpus=0.5, memoryGb=1.0))
     w.run(0.5)
     event(w, lead)
     w.run(held_s)
-    for worker in held:
+    for worker in blocked_workers:
         worker.reconnect()
     w.run(3)
     settle(w)
@@ -220,14 +230,14 @@
     assert len({t for _, t, _ in w.task_starts if t.startswith("run-000003")}) == 3
 
 
-# -- all end, some return ------------------------------------------------------------------------
+# -- all controllers end, some return --
 
 
 @pytest.mark.parametrize("copies", COPIES)
 @pytest.mark.parametrize("apart_s", [0.0, 0.05, 0.4, 3.0, 8.5])
 @pytest.mark.parametrize("back_s", [0.05, 0.9, 6.0])
 @pytest.mark.parametrize("lead_back", [True, False])
-def test_all_end_one_returns_and_shards_are_handed_back(
+def test_all_controllers_end_one_returns_and_shards_are_handed_back(
     lead_back: bool, back_s: float, apart_s: float, copies: str
 ) -> None:
     w = world(COPIES[copies])
@@ -241,32 +251,32 @@
     w.run(back_s)
     w.start_node(int(first[1:]))
     w.run(4.0)
-    persist(w, "POST", f"/api/jobs/{DOOMED}/cancel")
+    retry_until_accepted(w, "POST", f"/api/jobs/{DOOMED}/cancel")
     w.run(4.0)
     for node in order:
         if node not in w.owners:
             w.start_node(int(node[1:]))
             w.run(back_s)
-    # In the middle of handing back they end once more.
+    # The first one ends again in the middle of handing shards back.
     w.run(1.0)
     w.kill_node(first)
     w.run(back_s)
     settle(w)
 
 
-# -- a leader ends, its machines can't be reached ------------------------------------------------
+# -- a leader ends while its machines are unreachable --
 
 
 @pytest.mark.parametrize("copies", COPIES)
 @pytest.mark.parametrize("how", ["cut", "deaf", "direct"])
 @pytest.mark.parametrize("seconds", [4.0, 0.9 * LEASE_S, 1.1 * LEASE_S, 3 * LEASE_S])
-def test_a_leader_ends_while_machines_with_long_tasks_are_out_of_reach(
+def test_leader_ends_while_its_machines_are_unreachable(
     seconds: float, how: str, copies: str
 ) -> None:
     w = world(COPIES[copies])
     lead = node_with_most_tasks(w, DOOMED)
-    far = mine(w, lead)[:2]
-    for worker in far:
+    unreachable_workers = mine(w, lead)[:2]
+    for worker in unreachable_workers:
         if how == "deaf":
             w.receive_blocked_machines.add(worker.name)
         else:
@@ -274,40 +284,40 @@
     w.run(1.0)
     w.kill_node(lead)
     w.run(seconds)
-    # Room elsewhere for what is provably gone; none begins twice (World.started).
+    # There is room elsewhere for tasks that provably ended; none starts twice (World.started).
     w.cloud.capacity["small"] = 12
-    for worker in far:
+    for worker in unreachable_workers:
         worker.reconnect()
     w.receive_blocked_machines.clear()
     w.run(2 * REPORT_S)
     settle(w)
 
 
-# -- jobs of two or three tasks ------------------------------------------------------------------
+# -- jobs of two or three tasks --
 
 
-def ends(w: World, lead: str) -> None:
+def kill_leader(w: World, lead: str) -> None:
     w.kill_node(lead)
 
 
-def stands_still(w: World, lead: str) -> None:
+def stall_leader(w: World, lead: str) -> None:
     w.paused_until[lead] = w.now + 9.0
 
 
-def is_refused(w: World, lead: str) -> None:
+def refuse_leader(w: World, lead: str) -> None:
     w.state.refused_nodes.add(lead)
 
 
-def writes_go_astray(w: World, lead: str) -> None:
+def delay_writes(w: World, lead: str) -> None:
     w.state.transaction_fault = lambda node, body: "late" if w.random.random() < 0.6 else None
 
 
 @pytest.mark.parametrize("copies", COPIES)
-@pytest.mark.parametrize("change", [ends, stands_still, is_refused, writes_go_astray])
-@pytest.mark.parametrize("at", [0.5, 2.5, 4.0, 6.5, 9.5])
+@pytest.mark.parametrize("change", [kill_leader, stall_leader, refuse_leader, delay_writes])
+@pytest.mark.parametrize("change_at_s", [0.5, 2.5, 4.0, 6.5, 9.5])
 @pytest.mark.parametrize("hands", [2, 3])
-def test_tasks_of_a_small_job_end_far_apart_across_a_change_of_leader(
-    hands: int, at: float, change: Callable[[World, str], None], copies: str
+def test_tasks_of_a_small_job_end_before_and_after_a_change_of_leader(
+    hands: int, change_at_s: float, change: Callable[[World, str], None], copies: str
 ) -> None:
     w = world(COPIES[copies])
     for n, worker in enumerate(w.workers.values()):
@@ -316,13 +326,14 @@
     w.submit("n0", job_submission(3, **spec))
     w.run_until(lambda: w.running_task_count("run-000003") == hands, 30)
     lead = node_with_most_tasks(w, "run-000003")
-    w.run(at)
+    w.run(change_at_s)
     change(w, lead)
     w.run_until(lambda: len(w.completed_tasks) == hands, 60)
-    # No task whose machine lived on began again.
+    # No task whose machine survived was started again.
     tasks = [t for _, t, _ in w.task_starts if t.startswith("run-000003")]
     assert len(tasks) == len(set(tasks)) == hands
-    # Told by whoever is served: at once if the writes go through, soon after a takeover.
+    # Reported by a node that reaches the state service: at once if writes succeed, or soon after a
+    # takeover.
     w.run_until(
         lambda: any(job_state(w, n, "run-000003") == "done" for n in sorted(w.owners)),
         75,
