--- a/tests/test_late_writes.py
+++ b/tests/test_late_writes.py
@@ -184,7 +184,7 @@
 def test_late_takeover_of_a_shard_held_meanwhile_is_rejected() -> None:
     # n0 decides to take the unused shard n2 for its part of the limits. Meanwhile n2 itself takes
     # and uses its shard and loses the lease, and now acts by promises, among them one of n0. The
-    # holder key is absent as before, and the record of the last holder used to be unchanged, so n0
+    # holder key is absent as before, and the record of the last holder was unchanged, so n0
     # considered the shard vacated.
     world = world_with_machines(3)
     world.kill_node("n2")
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,14 +1,14 @@
-"""The layout holds: no new circle of imports (type checking's included), no new long module."""
+"""No new import cycles (type-checking imports included) and no new modules over the limit."""
 
 import ast
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent / "sagecove"
-MOST = 400
+MODULE_LIMIT_LINES = 400
 
-# What is still to be taken apart (docs/ROADMAP.md). These lists only shrink: a name that no longer
-# belongs here fails the test, too.
-LONG = {
+# Modules still to be split (docs/ROADMAP.md). These lists only shrink: an entry that is no longer
+# needed also fails a test.
+LONG_MODULES = {
     "coordination.provisioner",
     "coordination.workers",
     "lab.fakes",
@@ -16,8 +16,8 @@
     "sweeps.manager",
     "sweeps.routes",
 }
-CIRCLES = [
-    # Parts of the owner that are typed by it.
+IMPORT_CYCLES = [
+    # Parts of the owner that refer to its type.
     {
         "coordination." + name
         for name in ("leadership", "owner", "peers", "provisioner", "request_router")
@@ -27,7 +27,7 @@
 ]
 
 
-def modules() -> dict[str, Path]:
+def module_paths() -> dict[str, Path]:
     return {
         ".".join(path.relative_to(ROOT).with_suffix("").parts): path
         for path in ROOT.rglob("*.py")
@@ -35,49 +35,53 @@
     }
 
 
-def imports(path: Path, known: set[str]) -> set[str]:
-    """Modules of ours that one imports, at its top or below."""
-    out = set()
+def imported_modules(path: Path, known_modules: set[str]) -> set[str]:
+    """Return the modules of this package that a module imports, also within functions."""
+    imported = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("sagecove"):
             base = (node.module or "").removeprefix("sagecove").lstrip(".")
             for name in [base, *(f"{base}.{alias.name}".lstrip(".") for alias in node.names)]:
-                if name in known:
-                    out.add(name)
-    return out
+                if name in known_modules:
+                    imported.add(name)
+    return imported
 
 
-def circles(graph: dict[str, set[str]]) -> list[set[str]]:
-    """Groups of modules that can all be reached from one another."""
+def import_cycles(graph: dict[str, set[str]]) -> list[set[str]]:
+    """Return the groups of modules that all import one another, directly or indirectly."""
 
-    def reach(start: str) -> set[str]:
+    def reachable_from(start: str) -> set[str]:
         seen: set[str] = set()
-        left = [start]
-        while left:
-            for name in graph[left.pop()] - seen:
+        pending = [start]
+        while pending:
+            for name in graph[pending.pop()] - seen:
                 seen.add(name)
-                left.append(name)
+                pending.append(name)
         return seen
 
-    reached = {name: reach(name) for name in graph}
-    found: list[set[str]] = []
-    for name, there in reached.items():
-        group = {other for other in there if name in reached[other]}
-        if group and group not in found:
-            found.append(group)
-    return found
+    reachable = {name: reachable_from(name) for name in graph}
+    cycles: list[set[str]] = []
+    for name, targets in reachable.items():
+        group = {other for other in targets if name in reachable[other]}
+        if group and group not in cycles:
+            cycles.append(group)
+    return cycles
 
 
-def test_no_module_is_long_but_those_to_be_taken_apart() -> None:
-    lines = {name: len(path.read_text().splitlines()) for name, path in modules().items()}
-    assert {name for name, count in lines.items() if count > MOST} == LONG
+def test_only_listed_modules_are_long() -> None:
+    line_counts = {
+        name: len(path.read_text().splitlines()) for name, path in module_paths().items()
+    }
+    assert {
+        name for name, line_count in line_counts.items() if line_count > MODULE_LIMIT_LINES
+    } == LONG_MODULES
 
 
-def test_no_circle_of_imports_but_those_to_be_taken_apart() -> None:
-    paths = modules()
-    graph = {name: imports(path, set(paths)) for name, path in paths.items()}
-    assert sorted(map(sorted, circles(graph))) == sorted(map(sorted, CIRCLES))
+def test_only_listed_import_cycles_exist() -> None:
+    paths = module_paths()
+    graph = {name: imported_modules(path, set(paths)) for name, path in paths.items()}
+    assert sorted(map(sorted, import_cycles(graph))) == sorted(map(sorted, IMPORT_CYCLES))
 
 
-def test_a_circle_is_found() -> None:
-    assert circles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [{"a", "b", "c"}]
+def test_import_cycle_is_found() -> None:
+    assert import_cycles({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == [{"a", "b", "c"}]
