--- a/sagecove/protocol/__init__.py
+++ b/sagecove/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages as they stand on the wire, and their validation."""
+"""Message types with their names on the wire, and their validation."""
--- a/sagecove/protocol/cloud.py
+++ b/sagecove/protocol/cloud.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-Amount = Annotated[float, msgspec.Meta(ge=0)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 
 
 class MachineType(
@@ -22,22 +22,22 @@
     },
     frozen=True,
 ):
-    """A machine type on offer."""
+    """A machine type that the cloud offers."""
 
     name: str
-    cpus: Amount
-    memory_gb: Amount
-    price: Amount
+    cpus: NonNegative
+    memory_gb: NonNegative
+    price: NonNegative
     zones: list[str]
-    gpus: Amount = 0.0
-    cache_gb: Amount = 0.0
-    fetch_gb_per_s: Amount = 1.0
-    spot_price: Amount | None = None
-    boot_s: Amount = 30.0
+    gpus: NonNegative = 0.0
+    cache_gb: NonNegative = 0.0
+    fetch_gb_per_s: NonNegative = 1.0
+    spot_price: NonNegative | None = None
+    boot_s: NonNegative = 30.0
 
 
 class Types(msgspec.Struct, rename={"types": "breeds"}):
-    """All types on offer."""
+    """All machine types that the cloud offers."""
 
     types: list[MachineType]
 
@@ -52,7 +52,7 @@
         "count": "howMany",
     },
 ):
-    """A rental request."""
+    """A request to rent machines."""
 
     request: str
     type: str
@@ -62,7 +62,7 @@
 
 
 class Names(msgspec.Struct, rename={"machines": "mounts"}):
-    """Machine names: a rental's answer, or a deletion's request."""
+    """Names of machines: the answer to a rental, or a request to delete them."""
 
     machines: list[str]
 
@@ -78,7 +78,7 @@
         "age_s": "heldS",
     },
 ):
-    """A machine in the cloud's list."""
+    """A machine as the cloud lists it."""
 
     name: str
     type: str
@@ -90,7 +90,7 @@
 
 
 class Listing(msgspec.Struct, rename={"machines": "mounts", "more": "truncated"}):
-    """A page of the cloud's list."""
+    """A page of the cloud's list of machines."""
 
     machines: list[ListedMachine]
     more: bool = False
--- a/sagecove/protocol/peers.py
+++ b/sagecove/protocol/peers.py
@@ -1,11 +1,17 @@
-"""What controllers tell one another: hints only, no rule depends on them."""
+"""Messages between controllers.
+
+They are hints on which no safety rule depends, with the exception of `Promise`.
+"""
 
 import msgspec
 
 
 class ShareRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A shard needs its share of a team's limit to be `target` (CPUs and GPUs in millionths), for
-    the job that `rank` tells: shards are served in this order, the same for all who compare."""
+    """A request to raise a shard's share of a team's limit to `target`.
+
+    `target` holds CPUs and GPUs in millionths. `rank` is the precedence of the job that needs the
+    share: requests are served in this order, which is the same for every controller.
+    """
 
     team: str
     shard: str
@@ -14,8 +20,10 @@
 
 
 class CompletedClaims(msgspec.Struct, frozen=True, array_like=True):
-    """Claims of a team in a shard that its record still has, though their tasks have completed
-    (CPUs and GPUs in millionths)."""
+    """Claims of a team in a shard whose tasks have completed, though the record still has them.
+
+    `amount` holds CPUs and GPUs in millionths.
+    """
 
     team: str
     shard: str
@@ -23,8 +31,10 @@
 
 
 class RoomRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A gang fits in no single shard: the one it is served in lacks room for so many of its tasks
-    (in one zone, or in any)."""
+    """A request for idle machines of other shards, for a gang that fits in no single shard.
+
+    `shard` lacks room for `tasks` of its tasks, in `zone` or, if that is empty, in any zone.
+    """
 
     job: str
     shard: str
@@ -33,7 +43,7 @@
 
 
 class ImageRoom(msgspec.Struct, frozen=True, array_like=True):
-    """Free room (CPUs, GPUs) on machines of a zone and kind that have an image."""
+    """Free room (CPUs, GPUs) on machines of a zone, spot or not, that have an image."""
 
     image: str
     zone: str
@@ -43,56 +53,60 @@
 
 
 class ShareRequestList(msgspec.Struct):
-    """All that a controller wants of teams' limits, told when it changes."""
+    """All share requests of a controller, sent when they change."""
 
     node: str
     wants: list[ShareRequest]
 
 
 class Hint(msgspec.Struct, omit_defaults=True):
-    """A controller's view, sent about once a second."""
+    """A controller's view of the cluster, sent to its peers about once a second."""
 
     node: str
-    # The state service answers this controller.
+    # Whether the state service answers this controller.
     connected: bool = True
-    # The revision up to which it has read all changes.
+    # The revision up to which this controller has read all changes.
     applied: int = 0
-    # Running tasks of jobs claimed here, for display.
+    # Number of running tasks by job claimed by this controller, for display.
     running: dict[str, int] = {}
-    # Jobs claimed here that lack room: job id to (shard, tasks).
+    # Jobs claimed by this controller that lack room: job id to (shard, tasks).
     hungry: dict[str, tuple[str, int]] = {}
-    # Machines that have reported here.
+    # Machines that have reported to this controller.
     heard: set[str] = set()
-    # Of `running` and `heard` this is one of so many parts, which follow one another: a hint must
-    # stay within a body.
+    # Number of consecutive hints over which `running` and `heard` are spread, as a hint must not
+    # exceed the size limit of a body.
     parts: int = 1
-    # Machines of others' shards that reported here lately: alive, but cut off from their holder.
+    # Machines of other controllers' shards that reported here lately: they are alive but cut off
+    # from the holder of their shard.
     strangers: list[str] = []
-    # From the provisioner: machines the arrays could do without.
+    # From the provisioner: machines that the array jobs could do without.
     drain: list[str] = []
-    # Jobs whose cancellation this controller has just made durable.
+    # Jobs whose cancellation this controller has just committed.
     cancelled: list[str] = []
-    # Jobs claimed here that fail wherever they run.
+    # Jobs claimed by this controller that fail on every machine.
     failing: list[str] = []
-    # What shards held here want of teams' limits.
+    # Requests of the shards held by this controller for shares of teams' limits.
     wants: list[ShareRequest] = []
-    # Of teams near their limits.
+    # Completed but still recorded claims, of teams near their limits.
     ended: list[CompletedClaims] = []
-    # Gangs that idle machines of others would serve.
+    # Gangs that could run on idle machines of other controllers.
     calls: list[RoomRequest] = []
-    # Free room beside images.
+    # Free room on machines that have an image.
     warm: list[ImageRoom] = []
 
 
 class Promise(msgspec.Struct, omit_defaults=True):
-    """The answer to a hint from a controller that is itself refused by the state service: it will
-    act for no shard taken by lapse until `for_s` from now. It has told users of no cancellation
-    later than the revision `cancels`, and of none later than `floor` that is not named in
-    `cancelled` or was read by the asker (`Hint.applied`). The one message between controllers that
-    a rule rests on; without a promise (`for_s` 0) what it names stands all the same.
-
-    A build that knows only `cancels` counts the promise if it has read as far; a promise of such a
-    build has no `floor`."""
+    """The answer to a hint; the only message between controllers that a safety rule depends on.
+
+    A controller gives a promise only while the state service refuses it, too: until `for_s` seconds
+    from now it will not act for any shard that it took after a lease expired. It has confirmed to
+    users no cancellation later than the revision `cancels`; and of those later than `floor` only
+    such that are named in `cancelled` or that the receiver has read (`Hint.applied`). If `for_s` is
+    0 there is no promise, but the other fields are valid all the same.
+
+    A build that knows only `cancels` accepts the promise if it has read up to that revision; a
+    promise of such a build has no `floor`.
+    """
 
     for_s: float = 0.0
     cancels: int = 0
--- a/sagecove/protocol/state.py
+++ b/sagecove/protocol/state.py
@@ -6,7 +6,7 @@
 
 
 class Pair(msgspec.Struct, rename={"key": "path", "value": "v", "version": "stamp"}):
-    """A key with its value."""
+    """A key with its value and the revision of its last change."""
 
     key: str
     value: Any
@@ -14,7 +14,7 @@
 
 
 class Page(msgspec.Struct, rename={"items": "pairs", "more": "truncated", "revision": "ledger"}):
-    """A page of a prefix read."""
+    """A page of the keys with a prefix."""
 
     items: list[Pair]
     revision: int
@@ -22,7 +22,7 @@
 
 
 class Condition(msgspec.Struct, rename={"key": "path", "version": "stamp"}):
-    """A key must stand at this version (0: must not exist)."""
+    """Requires that a key has this version; 0 requires that it does not exist."""
 
     key: str
     version: int
@@ -31,7 +31,7 @@
 class Put(
     msgspec.Struct, rename={"key": "put", "value": "v", "lease": "tenure"}, omit_defaults=True
 ):
-    """Write a key."""
+    """A change that writes a key."""
 
     key: str
     value: Any
@@ -39,26 +39,26 @@
 
 
 class Delete(msgspec.Struct, rename={"key": "drop"}):
-    """Delete a key."""
+    """A change that deletes a key."""
 
     key: str
 
 
 class Transaction(msgspec.Struct, rename={"conditions": "if", "changes": "then"}):
-    """Changes made together if every condition holds."""
+    """Changes that are made together if every condition holds."""
 
     conditions: list[Condition]
     changes: list[Put | Delete] = []
 
 
 class Revision(msgspec.Struct, rename={"revision": "ledger"}):
-    """A transaction's success."""
+    """The answer to a transaction that was executed."""
 
     revision: int
 
 
 class Conflict(msgspec.Struct, rename={"revision": "ledger"}):
-    """A transaction's failed conditions."""
+    """The answer to a transaction with the keys of its failed conditions."""
 
     failed: list[str]
     revision: int
@@ -71,13 +71,13 @@
 
 
 class Granted(msgspec.Struct, rename={"lease": "tenure"}):
-    """A lease."""
+    """The answer to a request for a lease."""
 
     lease: int
 
 
 class Change(msgspec.Struct, rename={"delete": "drop", "value": "v", "version": "stamp"}):
-    """A watched change."""
+    """A change of a watched key: a write (`put`) or a deletion (`delete`)."""
 
     version: int
     put: str | None = None
@@ -86,7 +86,7 @@
 
 
 class Changes(msgspec.Struct, rename={"revision": "ledger"}):
-    """A watch's answer: every change after the asked revision up to `revision`."""
+    """The answer to a watch: all changes after the requested revision, up to `revision`."""
 
     revision: int
     events: list[Change] = []
--- a/sagecove/protocol/users.py
+++ b/sagecove/protocol/users.py
@@ -42,7 +42,7 @@
     },
     frozen=True,
 ):
-    """A job as submitted."""
+    """A job as a user submits it."""
 
     id: Annotated[str, msgspec.Meta(pattern=JOB_ID_PATTERN.pattern)]
     klass: Name
@@ -66,7 +66,7 @@
     deadline_s: Amount | None = None
 
     def __post_init__(self) -> None:
-        # The same few names in thousands of waiting jobs: kept once.
+        # Thousands of waiting jobs share a few names; interning keeps one copy of each.
         for field in ("klass", "team", "kind", "priority", "image", "zone"):
             value = getattr(self, field)
             if value is not None:
@@ -78,7 +78,7 @@
     rename={"id": "nameId", "state": "standing"},
     omit_defaults=True,
 ):
-    """An answer about a job."""
+    """The state of a job, as an answer to a user."""
 
     id: str
     state: str
@@ -87,7 +87,7 @@
 
 
 class Refusal(msgspec.Struct):
-    """An answer that is not a job's state."""
+    """The body of an answer that reports an error."""
 
     error: str
 
--- a/sagecove/protocol/views.py
+++ b/sagecove/protocol/views.py
@@ -1,10 +1,13 @@
-"""What operators and users may ask beside PROTOCOL: why a job waits, and who has what."""
+"""Answers of the diagnostic endpoints: why a job waits, and the state of the cluster.
+
+Operators and users may request them in addition to what PROTOCOL defines.
+"""
 
 import msgspec
 
 
 class Explanation(msgspec.Struct):
-    """Why a job waits, as far as the controller that was asked knows."""
+    """Why a job waits, as far as the answering controller knows."""
 
     job: str
     team: str
@@ -13,29 +16,29 @@
     tasks: int
     done: int
     running: int
-    # Fits its team's guarantee together with the team's earlier jobs.
+    # Whether the job fits its team's guarantee together with the team's earlier jobs.
     within_guarantee: bool
     fails_everywhere: bool
-    # Shard to number of its tasks that it holds.
+    # Number of tasks that each shard has claimed.
     claims: dict[str, int]
-    # In the users' terms, one a line.
+    # One sentence each, in the users' terms.
     reasons: list[str]
     told_by: str
 
 
 class ShardView(msgspec.Struct):
-    """A shard: who holds it under which term, and its machines."""
+    """A shard with its holder, its term and its number of machines."""
 
     name: str
     holder: str | None
     term: int
     machines: int
-    # Seconds it has been held; only its holder knows.
+    # Seconds since the holder took the shard; only the holder knows.
     held_s: float | None = None
 
 
 class TeamView(msgspec.Struct):
-    """A team: CPUs and GPUs of its claimed tasks against guarantee and limit (None: none)."""
+    """CPUs and GPUs of a team's claimed tasks, its guarantee and its limit (None: no limit)."""
 
     name: str
     cpus: float
@@ -47,8 +50,8 @@
     borrowed_cpus: float
     borrowed_gpus: float
     waiting_tasks: int
-    # Of its guarantee: what its jobs within it still wait for, and what lies unused, so that others
-    # may borrow it.
+    # Owed: the part of the guarantee that the team's jobs within it still wait for. Lent: the part
+    # that is unused, so that other teams may borrow it.
     owed_cpus: float = 0.0
     lent_cpus: float = 0.0
     owed_gpus: float = 0.0
@@ -56,18 +59,18 @@
 
 
 class MachineView(msgspec.Struct):
-    """A machine that is not as it should be."""
+    """A machine in trouble."""
 
     name: str
     type: str
     zone: str
     shard: str
-    # `late`, `faulty` or `leaving: why`.
+    # `late`, `faulty` or `leaving: REASON`.
     state: str
 
 
 class ClusterView(msgspec.Struct):
-    """The whole, as the controller that was asked sees it."""
+    """The state of the cluster, as the answering controller sees it."""
 
     told_by: str
     connected: bool
@@ -77,5 +80,5 @@
     shards: list[ShardView]
     teams: list[TeamView]
     troubled: list[MachineView]
-    # Jobs that fail wherever they run.
+    # Jobs that fail on every machine.
     failing: list[str]
--- a/sagecove/protocol/workers.py
+++ b/sagecove/protocol/workers.py
@@ -34,7 +34,7 @@
         "saved": "kept",
     },
 ):
-    """A task as a worker reports it."""
+    """The state of a task, as a worker reports it."""
 
     task: str
     attempt: Count
@@ -57,7 +57,7 @@
         "tasks": "hands",
     },
 ):
-    """A worker's report."""
+    """A report of a worker about its machine and tasks."""
 
     machine: Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9_.-]{1,120}\Z")]
     addr: Annotated[str, msgspec.Meta(max_length=100)]
@@ -67,7 +67,7 @@
     session: Count
     seq: Count
     token: Count
-    # Left as it came: most reports repeat the last one's tasks to the letter.
+    # Not decoded with the report: most reports repeat the tasks of the previous one byte by byte.
     tasks: msgspec.Raw = msgspec.Raw(b"[]")
     notice_s: float | None = None
 
@@ -86,14 +86,14 @@
 
 
 class ReportAnswer(msgspec.Struct, rename={"token": "brand"}):
-    """The response to a report."""
+    """The answer to a report."""
 
     token: int
     orders: list[WorkerCommand]
 
 
 class DirectCommands(msgspec.Struct, rename={"token": "brand", "session": "ride"}):
-    """Commands sent straight to a worker."""
+    """Commands that a controller sends to a worker outside the answer to a report."""
 
     token: int
     session: int
@@ -101,7 +101,7 @@
 
 
 class Redirect(msgspec.Struct, rename={"report_to": "foreman"}, omit_defaults=True):
-    """The body of a 421."""
+    """The body of a 421 answer: the address to report to."""
 
     report_to: str | None = None
 
--- a/sagecove/storage/__init__.py
+++ b/sagecove/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What is kept in the state service: records, their local mirror, request budgets."""
+"""Data kept in the state service: record types, a local mirror, and paced requests."""
--- a/sagecove/storage/records.py
+++ b/sagecove/storage/records.py
@@ -1,7 +1,8 @@
-"""Keys and values in the state service.
+"""Keys and record types in the state service.
 
-Everything under `s/` is watched and mirrored by each controller. Final states live under `o/`,
-outside the watch: they only grow in number and are read one by one when a user asks.
+Each controller watches and mirrors all keys under `s/`. Final states of jobs are stored under
+`o/`, outside the watch, because their number only grows; a controller reads a single one when a
+user asks for it.
 """
 
 from collections.abc import Iterable
@@ -14,8 +15,9 @@
 from sagecove.protocol.users import Job
 from sagecove.storage import taskset
 
-# No submission is longer (bytes) that is looked at without measuring it.
-SPEC_MOST = 1024
+# Assumed upper bound of an encoded submission. Where the record would fit with a submission of this
+# size, the actual one is not encoded to measure it.
+SPEC_LIMIT_BYTES = 1024
 
 LIVE_PREFIX = "s/"
 JOB_PREFIX = "s/job/"
@@ -30,52 +32,56 @@
 
 
 class JobRecord(msgspec.Struct, omit_defaults=True):
-    """A live job: its submission, who claims which tasks, and which are finished."""
+    """A live job: its submission, the tasks each shard claims, and the finished tasks."""
 
     spec: Job
     at: float
     claims: dict[str, str] = {}
     fin: str = ""
-    # The sweep it is a point of, if it is.
+    # The sweep that the job is a point of; empty if it is none.
     sweep: str = ""
 
 
 def max_claimable_tasks(
-    record: JobRecord, fin: int, held: int, shards: int, value_kb: float
+    record: JobRecord, finished: int, claimed: int, shards: int, value_kb: float
 ) -> int:
-    """How many of a job's tasks may be claimed at a time, in all shards, so that its record fits a
-    value (KiB) in whatever order they complete: a set of thousands of numbers out of a hundred
-    thousand has no short text. `held`: tasks that are claimed."""
+    """Return how many tasks of a job all shards together may claim at a time.
+
+    The limit keeps the job's record within `value_kb` (KiB) in whatever order the tasks complete:
+    a set of thousands of numbers out of a hundred thousand has no short text form. `finished`
+    and `claimed` are the sets of finished and of claimed tasks.
+    """
     spec = record.spec
-    limit = value_kb * 1024 - 128
+    limit_bytes = value_kb * 1024 - 128
     sets = (shards + 1) * taskset.max_text_bytes(spec.tasks, spec.tasks)
-    if sets + SPEC_MOST < limit:
+    if sets + SPEC_LIMIT_BYTES < limit_bytes:
         return spec.tasks
-    length = len(msgspec.json.encode(record.spec)) + 64 * shards
-    # Tasks below the last that is held or finished and are neither: they part the finished ones.
-    last = (fin | held).bit_length()
-    holes = last - (fin | held).bit_count()
-    most = 1
+    fixed_bytes = len(msgspec.json.encode(record.spec)) + 64 * shards
+    # Tasks that are neither claimed nor finished but lie below the highest such task: each may
+    # split a run of finished tasks.
+    highest = (finished | claimed).bit_length()
+    gap_count = highest - (finished | claimed).bit_count()
+    max_count = 1
     step = 1 << (spec.tasks.bit_length() - 1)
     while step:
-        count = most + step
-        text = taskset.max_text_bytes(spec.tasks, count, sets=shards)
-        text += taskset.max_text_bytes(spec.tasks, count + holes, runs=True)
-        if count <= spec.tasks and length + text < limit:
-            most = count
+        count = max_count + step
+        text_bytes = taskset.max_text_bytes(spec.tasks, count, sets=shards)
+        text_bytes += taskset.max_text_bytes(spec.tasks, count + gap_count, runs=True)
+        if count <= spec.tasks and fixed_bytes + text_bytes < limit_bytes:
+            max_count = count
         step //= 2
-    return most
+    return max_count
 
 
 class FinalStateRecord(msgspec.Struct):
-    """A job's final state, written in the transaction that removes its live record."""
+    """The final state of a job, written in the transaction that removes its live record."""
 
     state: str
     tasks: int
 
 
 class MachineRecord(msgspec.Struct, omit_defaults=True):
-    """A machine and the shard it belongs to; `leaving` hands it to the provisioner for deletion."""
+    """A machine and its shard; a reason in `leaving` asks the provisioner to delete it."""
 
     type: str
     zone: str
@@ -87,10 +93,11 @@
 
 
 class HolderRecord(msgspec.Struct):
-    """Who holds a shard or role, under which lease. The key's revision is the term.
+    """The holder of a shard or role, and its lease. The revision of the key is the term.
 
-    `vacated`: the holder before has stopped acting for the shard (it handed it over, or it was
-    an earlier process of the same node)."""
+    `vacated` means that the previous holder has stopped acting for the shard: it handed the shard
+    over, or it was an earlier process of the same node.
+    """
 
     node: str
     lease: int
@@ -98,21 +105,22 @@
 
 
 class LastHolderRecord(msgspec.Struct):
-    """Who held a shard last: on no lease, so that it outlives the holder's key."""
+    """The last holder of a shard, written without a lease so that it outlives the holder's key."""
 
     node: str
 
 
 class MemberRecord(msgspec.Struct, omit_defaults=True):
-    """A controller that is up; its lease id lets others hand it a shard in one write."""
+    """A running controller; with its lease id others can hand it a shard in one write."""
 
     lease: int
-    # Teams whose limit by its settings is not the one agreed on (CPUs, GPUs in millionths).
+    # Limits (CPUs, GPUs in millionths) by team, where the settings of this controller differ from
+    # the limit that the controllers agreed on.
     limits: dict[str, tuple[int, int]] = {}
 
 
 class RentalRecord(msgspec.Struct):
-    """A rental written down before the cloud is asked, so that a successor can repeat it."""
+    """A rental, recorded before the request to the cloud so that a successor can repeat it."""
 
     type: str
     zone: str
@@ -122,12 +130,12 @@
 
 
 class MachineTypesRecord(msgspec.Struct):
-    """The cloud's answer about machine types, as last written down by the provisioner."""
+    """The machine types that the cloud offers, as last recorded by the provisioner."""
 
     types: list[MachineType]
 
 
-_KINDS: list[tuple[str, Any]] = [
+_RECORD_TYPES: list[tuple[str, Any]] = [
     (JOB_PREFIX, JobRecord),
     (MACHINE_PREFIX, MachineRecord),
     (HOLDER_PREFIX, HolderRecord),
@@ -139,13 +147,16 @@
 ]
 
 
-def parse_record(key: str, raw: Any, more: Iterable[tuple[str, Any]] = ()) -> Any:
-    """A record from a decoded JSON value; None if it is garbage or of no known kind. `more`: kinds
-    beside the core's."""
-    for prefix, kind in chain(_KINDS, more):
+def parse_record(key: str, value: Any, extra_types: Iterable[tuple[str, Any]] = ()) -> Any:
+    """Convert a decoded JSON value to the record type of its key.
+
+    Returns None if the value is invalid or the key has no known record type. `extra_types`
+    lists prefixes and record types beyond those of the core.
+    """
+    for prefix, record_type in chain(_RECORD_TYPES, extra_types):
         if key.startswith(prefix):
             try:
-                return msgspec.convert(raw, kind)
+                return msgspec.convert(value, record_type)
             except msgspec.ValidationError:
                 return None
     return None
--- a/sagecove/storage/store.py
+++ b/sagecove/storage/store.py
@@ -1,7 +1,7 @@
-"""Requests to the state service: built here, sent by the transport, paced by the budgets.
+"""Builds requests to the state service and paces them by token buckets; the transport sends them.
 
-Every outcome is one of four: done, conflict (a condition failed), refused (surely not executed)
-and unknown (may have been executed, or may yet be).
+A transaction ends in one of these outcomes: done, conflict (a condition failed), refused (surely
+not executed), unknown (possibly executed, now or later) and no lease (answered with 400).
 """
 
 import enum
@@ -17,14 +17,15 @@
 
 log = logging.getLogger("sagecove.store")
 
-# A transaction, who hears its outcome, its writes, and how often it was answered 429.
+# A transaction, the callback for its outcome, its number of writes, and how often the service has
+# answered it with 429.
 QueuedTransaction = tuple[wire.Transaction, "Callable[[Result], None]", int, int]
 
 SendRequest = Callable[[str, str, Any, float, Callable[[int | None, bytes], None]], None]
 
 
 class Outcome(enum.Enum):
-    """What became of a transaction."""
+    """The outcome of a transaction."""
 
     DONE = 1
     CONFLICT = 2
@@ -34,26 +35,29 @@
 
 
 class Result(NamedTuple):
-    """An outcome, with the revision of a success or the failed keys of a conflict."""
+    """An outcome with the revision of a success, or the failed keys of a conflict."""
 
     outcome: Outcome
     revision: int = 0
     failed: tuple[str, ...] = ()
 
 
-def decode_answer(body: bytes, kind: Any) -> Any:
-    """A decoded answer, or None: garbage counts as no answer."""
+def decode_answer(body: bytes, answer_type: Any) -> Any:
+    """Decode an answer; return None if it is invalid, which counts as no answer."""
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=answer_type)
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        log.info("unreadable answer kind=%s", kind.__name__)
+        log.info("unreadable answer kind=%s", answer_type.__name__)
         return None
 
 
 class Store:
-    """Paces and sends requests; `send(method, path, body, timeout, done)` emits one."""
+    """Paces requests to the state service and sends them.
 
-    # Lengths of waits for an answer, as seen by a caller whose own users give up after 2 s or 5 s.
+    `send(method, path, body, timeout, done)` sends one request.
+    """
+
+    # Timeouts of requests; the users that wait for this controller give up after 2 s or 5 s.
     READ_TIMEOUT_S = 1.3
     COMMIT_TIMEOUT_S = 2.5
     MAX_TRY_COUNT = 8
@@ -61,19 +65,21 @@
     def __init__(
         self, rps: float, write_rps: float, nodes: int, now: float, send: SendRequest
     ) -> None:
-        # This controller's share of the limits; a little is left for what others do in bursts.
+        # The share of the limits for this controller; 5% are left for bursts of the others.
         share = 0.95 / nodes
         self.requests = TokenBucket(rps * share, rps * share, now)
         self.writes = TokenBucket(write_rps * share, write_rps * 0.5, now)
-        # What others leave unused may be had: the share of writes grows while transactions wait
-        # and the service takes them, and is back at the fair one with the first 429.
+        # Writes that other controllers leave unused may be used: the write rate grows while
+        # transactions wait and the service accepts them, and falls back to the fair share with
+        # the first 429.
         self.fair_write_rate = write_rps * share
         self.max_write_rate = write_rps * min(0.6, 2.5 * share)
         self.write_rate_raised_at = now
         self.send = send
         self.waiting: deque[QueuedTransaction] = deque()
-        # Users and leases wait for these: they go first, and without regard to this controller's
-        # share, which the others owe then. All that holds them up is the service's own 429.
+        # Users and leases wait for these transactions. They are sent first and without regard to
+        # this controller's share, which goes into debt and delays the other transactions. Only
+        # a 429 of the service holds them back.
         self.urgent: deque[QueuedTransaction] = deque()
         self.hold_until = 0.0
         self.max_waiting = 400
@@ -86,8 +92,10 @@
         *,
         urgent: bool = False,
     ) -> None:
-        """Queue a transaction; `done` hears its outcome. `urgent` ones go first."""
-        transaction = wire.Transaction([wire.Condition(k, s) for k, s in conditions], changes)
+        """Queue a transaction and pass its outcome to `done`; `urgent` ones are sent first."""
+        transaction = wire.Transaction(
+            [wire.Condition(key, revision) for key, revision in conditions], changes
+        )
         entry = (transaction, done, len(changes), 0)
         if urgent:
             self.urgent.append(entry)
@@ -98,33 +106,36 @@
 
     @property
     def queued(self) -> bool:
-        """Transactions wait to be sent."""
+        """Whether transactions wait to be sent."""
         return bool(self.waiting or self.urgent)
 
     def writes_scarce(self, now: float) -> bool:
-        """Writes are scarce: what can do without some should."""
+        """Return whether writes are scarce, so that optional ones should be left out."""
         return (
             bool(self.urgent) or self.writes.seconds_until_available(now, self.writes.burst / 4) > 0
         )
 
     def flush(self, now: float) -> float | None:
-        """Send what the budgets allow; seconds until more may be sent, None if nothing waits."""
+        """Send the transactions that the budgets allow.
+
+        Returns the seconds until more may be sent, or None if no transaction waits.
+        """
         while self.queued:
-            wait = self.hold_until - now
-            if wait > 0:
-                return wait
+            wait_s = self.hold_until - now
+            if wait_s > 0:
+                return wait_s
             if self.urgent:
                 self._send(now, self.urgent.popleft(), self.urgent)
                 continue
-            wait = max(
+            wait_s = max(
                 self.requests.seconds_until_available(now),
                 self.writes.seconds_until_available(now, self.waiting[0][2]),
             )
-            if wait > 0:
+            if wait_s > 0:
                 if now - self.write_rate_raised_at > 0.25:
                     self.write_rate_raised_at = now
                     self.writes.rate = min(self.max_write_rate, 1.15 * self.writes.rate)
-                return wait
+                return wait_s
             self._send(now, self.waiting.popleft(), self.waiting)
         return None
 
@@ -132,21 +143,21 @@
         transaction, done, writes, tries = entry
         self.requests.spend(now)
         self.writes.spend(now, writes)
-        finish = _committed(done)
+        finish = _transaction_callback(done)
 
-        def answered(status: int | None, body: bytes) -> None:
-            # A 429 says that nothing was executed: the transaction waits for the next moment
-            # with room rather than being given up, while its user's patience allows.
+        def on_answer(status: int | None, body: bytes) -> None:
+            # A 429 means that nothing was executed. The transaction is queued again instead of
+            # being given up, but only a limited number of times, as its user stops waiting.
             if status == 429 and tries < self.MAX_TRY_COUNT:
                 queue.appendleft((transaction, done, writes, tries + 1))
             else:
                 finish(status, body)
 
-        self.send("POST", "/commit", transaction, self.COMMIT_TIMEOUT_S, answered)
+        self.send("POST", "/commit", transaction, self.COMMIT_TIMEOUT_S, on_answer)
 
-    def pause_after_throttling(self, now: float, pause: float) -> None:
-        """The service answered 429: everybody's burst is spent, so pause (the caller jitters)."""
-        self.hold_until = max(self.hold_until, now + pause)
+    def pause_after_throttling(self, now: float, pause_s: float) -> None:
+        """Pause after a 429, which means that the shared burst is spent; the caller adds jitter."""
+        self.hold_until = max(self.hold_until, now + pause_s)
         self.write_rate_raised_at = now + 1.0
         self.writes.rate = self.fair_write_rate
 
@@ -158,10 +169,10 @@
     def read_page(
         self, now: float, prefix: str, after: str, done: Callable[[int | None, bytes], None]
     ) -> None:
-        """Read a page of a prefix."""
+        """Read a page of the keys with a prefix, beginning after the key `after`."""
         self.requests.spend(now)
-        start = f"&from={after}" if after else ""
-        self.send("GET", f"/store?prefix={prefix}{start}&most=500", None, 3.0, done)
+        start_parameter = f"&from={after}" if after else ""
+        self.send("GET", f"/store?prefix={prefix}{start_parameter}&most=500", None, 3.0, done)
 
     def watch(
         self,
@@ -171,7 +182,7 @@
         wait_s: float,
         done: Callable[[int | None, bytes], None],
     ) -> None:
-        """Wait for changes after a revision; with `wait_s` 0 a linearizable read of the changes."""
+        """Wait for changes after a revision; `wait_s` 0 makes it a linearizable read of them."""
         self.requests.spend(now)
         path = f"/watch?prefix={prefix}&from={since}&blockMs={round(wait_s * 1000)}"
         self.send("GET", path, None, wait_s + (self.READ_TIMEOUT_S if not wait_s else 10.0), done)
@@ -179,7 +190,7 @@
     def grant_lease(
         self, now: float, ttl_s: float, done: Callable[[int | None, bytes], None]
     ) -> None:
-        """Ask for a lease."""
+        """Request a lease."""
         self.requests.spend(now)
         self.send("POST", "/grants", wire.Grant(round(ttl_s * 1000)), self.READ_TIMEOUT_S, done)
 
@@ -191,8 +202,8 @@
         self.send("POST", f"/grants/{lease}/renew", None, self.READ_TIMEOUT_S, done)
 
 
-def _committed(done: Callable[[Result], None]) -> Callable[[int | None, bytes], None]:
-    def answered(status: int | None, body: bytes) -> None:
+def _transaction_callback(done: Callable[[Result], None]) -> Callable[[int | None, bytes], None]:
+    def on_answer(status: int | None, body: bytes) -> None:
         if status == 200:
             revision = decode_answer(body, wire.Revision)
             done(Result(Outcome.DONE, revision.revision) if revision else Result(Outcome.UNKNOWN))
@@ -208,4 +219,4 @@
         else:
             done(Result(Outcome.UNKNOWN))
 
-    return answered
+    return on_answer
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""Stories of what is kept in the state service."""
+"""The mirror of the state service, sets of task numbers, and request budgets."""
 
 from random import Random
 
@@ -7,9 +7,9 @@
 from sagecove.storage.mirror import Event, Item, Mirror
 
 
-def test_a_late_watch_answer_does_not_bring_a_key_back() -> None:
-    # On a bench day a job that was done became pending again: the answer of a long watch, sent
-    # before the job ended, came after that of a read which told of the end.
+def test_late_watch_answer_does_not_restore_a_deleted_key() -> None:
+    # A finished job became pending again: the answer of a long watch, sent before the job ended,
+    # arrived after that of a read that reported the end.
     mirror = Mirror()
     mirror.apply(Event("s/job/1", "a", 5))
     mirror.apply(Event("s/job/1", None, 7))
@@ -18,7 +18,7 @@
     assert "s/job/1" not in mirror.items
 
 
-def test_own_commit_ahead_of_the_watch() -> None:
+def test_own_commit_is_applied_before_the_watch_reports_it() -> None:
     mirror = Mirror()
     mirror.advance_to(4)
     mirror.apply(Event("k", None, 9))
@@ -28,10 +28,10 @@
     assert mirror.revision_of("k") == 10
 
 
-def test_fresh_listing_after_a_lost_watch() -> None:
+def test_new_listing_after_a_lost_watch() -> None:
     mirror = Mirror()
-    for n, key in enumerate("abc", 1):
-        mirror.apply(Event(key, key, n))
+    for revision, key in enumerate("abc", 1):
+        mirror.apply(Event(key, key, revision))
     mirror.advance_to(3)
     for event in mirror.differences({"a": Item("a", 1), "b": Item("B", 6), "d": Item("d", 5)}, 6):
         mirror.apply(event)
@@ -39,7 +39,7 @@
     assert {k: i.value for k, i in mirror.items.items()} == {"a": "a", "b": "B", "d": "d"}
 
 
-def test_task_sets_survive_their_text_form_and_fit_a_record() -> None:
+def test_task_sets_keep_their_members_in_text_form_and_fit_a_record() -> None:
     random = Random(3)
     for bits in (0, 1, taskset.full(100_000), random.getrandbits(1000), random.getrandbits(33)):
         assert taskset.decode(taskset.encode(bits)) == bits
@@ -50,7 +50,7 @@
     assert list(taskset.members(taskset.lowest(0b101101, 2))) == [0, 2]
 
 
-def test_budget_allows_a_burst_and_then_its_rate() -> None:
+def test_token_bucket_allows_a_burst_and_then_its_rate() -> None:
     budget = TokenBucket(10.0, 5.0, 0.0)
     spent = 0
     for tick in range(200):
