--- a/sagecove/service.py
+++ b/sagecove/service.py
@@ -1,4 +1,7 @@
-"""Wires the owner to the sockets: commands in, effects out, on twisted's reactor."""
+"""Connects the owner to the network: passes events to it and carries out its effects.
+
+Everything runs on the reactor of twisted.
+"""
 
 import gc
 import logging
@@ -18,40 +21,40 @@
 
 log = logging.getLogger("sagecove.service")
 
-# Commands that come within this time are handled as one batch.
-GATHER_S = 0.004
+# Events that arrive within this time are handled as one batch.
+BATCH_DELAY_S = 0.004
 
 
 class Service:
     """A controller process."""
 
-    def __init__(self, settings: Settings, reactor: Any, chosen: ChosenFeatures) -> None:
+    def __init__(self, settings: Settings, reactor: Any, features: ChosenFeatures) -> None:
         self.settings = settings
         self.reactor = reactor
         self.owner = Owner(
-            settings, Random(), time.monotonic(), time.time(), feature_factory(chosen)
+            settings, Random(), time.monotonic(), time.time(), feature_factory(features)
         )
         self.queue: deque[IncomingRequest | CallResult] = deque()
         self.timer: Any = None
-        self.scheduled = False
+        self.run_scheduled = False
         self.encode = msgspec.json.Encoder().encode
         self.clients: dict[str, Client] = {}
-        self.services = {
+        self.service_addresses = {
             "state": settings.services.state,
             "cloud": settings.services.cloud,
         }
-        self.debug = log.isEnabledFor(logging.DEBUG)
+        self.debug_enabled = log.isEnabledFor(logging.DEBUG)
 
     def start(self) -> None:
-        """Listen, and begin."""
-        most = self.settings.params.resources.fd_limit
+        """Listen on both addresses and run the owner for the first time."""
+        max_connections = self.settings.params.resources.fd_limit
         for address, handler, share in (
-            (self.settings.listen, self._asked, 0.7),
-            (self.settings.peer_listen, self._peer_asked, 0.1),
+            (self.settings.listen, self._user_request, 0.7),
+            (self.settings.peer_listen, self._peer_request, 0.1),
         ):
             host, port = split_address(address)
-            pace = self.settings.params.workers.report_s
-            factory = Server(handler, self.reactor, int(most * share), pace)
+            report_s = self.settings.params.workers.report_s
+            factory = Server(handler, self.reactor, int(max_connections * share), report_s)
             self.reactor.listenTCP(port, factory, backlog=256, interface=host)
         log.info(
             "started node=%s listen=%s lease=%.2f",
@@ -63,20 +66,20 @@
         gc.freeze()
         self._run()
 
-    def _asked(self, method: str, path: str, body: bytes, exchange: Exchange) -> None:
-        self._put(IncomingRequest(method, path, body, exchange))
+    def _user_request(self, method: str, path: str, body: bytes, exchange: Exchange) -> None:
+        self._enqueue(IncomingRequest(method, path, body, exchange))
 
-    def _peer_asked(self, method: str, path: str, body: bytes, exchange: Exchange) -> None:
-        self._put(IncomingRequest(method, path, body, exchange, True))
+    def _peer_request(self, method: str, path: str, body: bytes, exchange: Exchange) -> None:
+        self._enqueue(IncomingRequest(method, path, body, exchange, True))
 
-    def _put(self, command: IncomingRequest | CallResult) -> None:
-        self.queue.append(command)
-        if not self.scheduled:
-            self.scheduled = True
-            self.reactor.callLater(GATHER_S, self._run)
+    def _enqueue(self, event: IncomingRequest | CallResult) -> None:
+        self.queue.append(event)
+        if not self.run_scheduled:
+            self.run_scheduled = True
+            self.reactor.callLater(BATCH_DELAY_S, self._run)
 
     def _run(self) -> None:
-        self.scheduled = False
+        self.run_scheduled = False
         batch = list(self.queue)
         self.queue.clear()
         for effect in self.owner.handle(batch, time.monotonic(), time.time()):
@@ -84,31 +87,31 @@
                 self._reply(effect)
             else:
                 self._call(effect)
-        wait = self.owner.seconds_until_due()
+        wait_s = self.owner.seconds_until_due()
         if self.timer is not None and self.timer.active():
-            self.timer.reset(wait)
+            self.timer.reset(wait_s)
         else:
-            self.timer = self.reactor.callLater(wait, self._run)
+            self.timer = self.reactor.callLater(wait_s, self._run)
 
     def _reply(self, reply: Reply) -> None:
-        if self.debug:
+        if self.debug_enabled:
             log.debug("answer path=%s status=%d", reply.exchange.path, reply.status)
         reply.exchange.reply(reply.status, self.encode(reply.body), reply.retry_after)
 
     def _client(self, target: str) -> Client:
-        address = self.services.get(target, target)
+        address = self.service_addresses.get(target, target)
         client = self.clients.get(address)
         if client is None:
             if len(self.clients) > self.settings.params.resources.fd_limit // 4:
-                self._drop_clients()
+                self._close_unused_clients()
             host, port = split_address(address)
-            most = 24 if target == "state" else 4
-            client = Client(self.reactor, host, port, most, 2.0)
+            max_connections = 24 if target == "state" else 4
+            client = Client(self.reactor, host, port, max_connections, 2.0)
             self.clients[address] = client
         return client
 
-    def _drop_clients(self) -> None:
-        """Machines come and go: forget connections not used for a minute."""
+    def _close_unused_clients(self) -> None:
+        """Close clients not used for a minute, as machines join and leave the cluster."""
         now = self.reactor.seconds()
         for address, client in list(self.clients.items()):
             if now - client.last_used_at > 60 and not client.busy and not client.queue:
@@ -119,7 +122,7 @@
         try:
             client = self._client(call.target)
         except ValueError:
-            self._put(CallResult(call.token, 0, b""))
+            self._enqueue(CallResult(call.token, 0, b""))
             return
         body = None if call.body is None else self.encode(call.body)
         if body is None and call.method == "POST":
@@ -130,13 +133,13 @@
             call.path,
             body,
             call.timeout_s,
-            lambda status, data: self._put(CallResult(token, status, data)),
+            lambda status, data: self._enqueue(CallResult(token, status, data)),
         )
 
 
-def serve(settings: Settings, chosen: ChosenFeatures) -> None:
-    """Run a controller until it is killed."""
+def serve(settings: Settings, features: ChosenFeatures) -> None:
+    """Run a controller process until it is killed."""
     from twisted.internet import reactor
 
-    Service(settings, reactor, chosen).start()
+    Service(settings, reactor, features).start()
     reactor.run(installSignalHandlers=False)  # type: ignore[attr-defined]
--- a/sagecove/transport/__init__.py
+++ b/sagecove/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: HTTP server, HTTP clients, and the loop that feeds the owner."""
+"""HTTP server and HTTP client."""
--- a/sagecove/transport/client.py
+++ b/sagecove/transport/client.py
@@ -1,6 +1,7 @@
-"""HTTP client on twisted.web's HTTPClient: keep-alive, a bounded pool per host, hard timeouts.
+"""HTTP client with keep-alive, a bounded connection pool per host and hard timeouts.
 
-`None` as an answer means: no response. The request may have been executed, or may yet be.
+It is built on the HTTPClient of twisted.web. A status of `None` means that there was no response:
+the request may have been executed, or may still be.
 """
 
 from collections import deque
@@ -12,19 +13,19 @@
 
 ResponseCallback = Callable[[int | None, bytes], None]
 
-# A timer that fires so much late says that this process was not running.
-LATE_S = 0.5
+# A timer that fires later than this shows that the process was not running.
+PAUSE_DETECTION_S = 0.5
 
 
-class _Call:
-    __slots__ = ("data", "done", "due", "retried", "spared", "started", "timer")
+class _PendingRequest:
+    __slots__ = ("data", "done", "due_at", "retried", "timeout_extended", "started", "timer")
 
     def __init__(self, data: bytes, done: ResponseCallback) -> None:
         self.data = data
         self.done: ResponseCallback | None = done
         self.timer: Any = None
-        self.due = 0.0
-        self.spared = False
+        self.due_at = 0.0
+        self.timeout_extended = False
         self.started = False
         self.retried = False
 
@@ -36,45 +37,46 @@
             done(status, body)
 
 
-class _Wire(http.HTTPClient):
-    """One connection, one request at a time."""
+class _Connection(http.HTTPClient):
+    """A connection that carries one request at a time."""
 
     MAX_LENGTH = 65536
 
     def __init__(self, pool: "Client") -> None:
         self.pool = pool
-        self.call: _Call | None = None
+        self.request: _PendingRequest | None = None
         self.status = 0
-        self.close = False
+        self.close_after_response = False
         self.chunked = False
-        self.served = 0
+        self.response_count = 0
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
-        self.pool.ready(self)
+        self.pool.connection_ready(self)
 
-    def send(self, call: _Call) -> None:
-        self.call = call
-        call.started = True
+    def send(self, request: _PendingRequest) -> None:
+        self.request = request
+        request.started = True
         self.firstLine = True
         self.length = None
         self._header = b""
-        self.transport.write(call.data)
+        self.transport.write(request.data)
 
     def handleStatus(self, version: bytes, status: bytes, message: bytes) -> None:
         self.status = int(status)
-        self.close = version == b"HTTP/1.0"
+        self.close_after_response = version == b"HTTP/1.0"
 
     def handleHeader(self, key: bytes, val: bytes) -> None:
         name = key.lower()
         if name == b"connection" and val.strip().lower() == b"close":
-            self.close = True
+            self.close_after_response = True
         elif name == b"transfer-encoding":
             self.chunked = True
 
     def handleEndHeaders(self) -> None:
         if self.chunked:
-            # Nobody here speaks it; an answer that cannot be read is no answer.
+            # Chunked responses are not supported: no service used here sends them, and a response
+            # that cannot be read counts as none.
             self.transport.abortConnection()
 
     def setRawMode(self) -> None:
@@ -84,15 +86,15 @@
             self.setLineMode()
 
     def handleResponse(self, response: bytes) -> None:
-        whole = self.length == 0
-        call, self.call = self.call, None
-        self.served += 1
-        if not whole or self.close:
+        complete = self.length == 0
+        request, self.request = self.request, None
+        self.response_count += 1
+        if not complete or self.close_after_response:
             self.transport.loseConnection()
         else:
-            self.pool.ready(self)
-        if call is not None:
-            call.finish(self.status if whole else None, response)
+            self.pool.connection_ready(self)
+        if request is not None:
+            request.finish(self.status if complete else None, response)
 
     def lineReceived(self, line: bytes) -> None:
         try:
@@ -101,10 +103,10 @@
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
-        call, self.call = self.call, None
-        self.pool.lost(self)
-        if call is not None:
-            call.finish(None, b"")
+        request, self.request = self.request, None
+        self.pool.connection_lost(self)
+        if request is not None:
+            request.finish(None, b"")
 
 
 class _Factory(ClientFactory):
@@ -113,15 +115,15 @@
     def __init__(self, pool: "Client") -> None:
         self.pool = pool
 
-    def buildProtocol(self, addr: Any) -> _Wire:
-        return _Wire(self.pool)
+    def buildProtocol(self, addr: Any) -> _Connection:
+        return _Connection(self.pool)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.pool.failed()
+        self.pool.connection_failed()
 
 
 class Client:
-    """Requests to one host."""
+    """Sends requests to one host over a pool of connections."""
 
     def __init__(
         self,
@@ -138,19 +140,19 @@
         self.max_connections = max_connections
         self.connect_s = connect_s
         self.max_queued = max_queued
-        self.queue: deque[_Call] = deque()
-        self.idle: list[_Wire] = []
-        self.busy: set[_Wire] = set()
-        self.opening = 0
-        self.head = b"Host: %s:%d\r\n" % (host.encode(), port)
+        self.queue: deque[_PendingRequest] = deque()
+        self.idle: list[_Connection] = []
+        self.busy: set[_Connection] = set()
+        self.opening_count = 0
+        self.host_header = b"Host: %s:%d\r\n" % (host.encode(), port)
         self.last_used_at = 0.0
 
     def request(
-        self, method: bytes, path: str, body: bytes | None, timeout: float, done: ResponseCallback
+        self, method: bytes, path: str, body: bytes | None, timeout_s: float, done: ResponseCallback
     ) -> None:
-        """Send a request; `done(status, body)` is called exactly once, never from in here."""
+        """Send a request; `done(status, body)` is called exactly once, after this call returns."""
         self.last_used_at = self.reactor.seconds()
-        head = b"%s %s HTTP/1.1\r\n%s" % (method, path.encode(), self.head)
+        head = b"%s %s HTTP/1.1\r\n%s" % (method, path.encode(), self.host_header)
         if body is None:
             data = head + b"\r\n"
         else:
@@ -158,72 +160,76 @@
                 b"Content-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
                 % (len(body), body)
             )
-        call = _Call(data, done)
+        request = _PendingRequest(data, done)
         if len(self.queue) >= self.max_queued:
-            self.reactor.callLater(0, call.finish, None, b"")
+            self.reactor.callLater(0, request.finish, None, b"")
             return
-        call.due = self.last_used_at + timeout
-        call.timer = self.reactor.callLater(timeout, self._expired, call)
-        self.queue.append(call)
-        self._pump()
+        request.due_at = self.last_used_at + timeout_s
+        request.timer = self.reactor.callLater(timeout_s, self._timed_out, request)
+        self.queue.append(request)
+        self._send_queued()
 
-    def _pump(self) -> None:
+    def _send_queued(self) -> None:
         while self.queue and self.queue[0].done is None:
             self.queue.popleft()
         while self.queue and self.idle:
-            wire = self.idle.pop()
-            call = self.queue.popleft()
-            if call.done is None:
-                self.idle.append(wire)
+            connection = self.idle.pop()
+            request = self.queue.popleft()
+            if request.done is None:
+                self.idle.append(connection)
                 continue
-            self.busy.add(wire)
-            wire.send(call)
-        waiting = len(self.queue)
+            self.busy.add(connection)
+            connection.send(request)
+        queued_requests = len(self.queue)
         if (
-            waiting > self.opening
-            and len(self.busy) + len(self.idle) + self.opening < self.max_connections
+            queued_requests > self.opening_count
+            and len(self.busy) + len(self.idle) + self.opening_count < self.max_connections
         ):
-            self.opening += 1
+            self.opening_count += 1
             self.reactor.connectTCP(self.host, self.port, _Factory(self), timeout=self.connect_s)
 
-    def _expired(self, call: _Call) -> None:
-        if not call.spared and self.reactor.seconds() - call.due > LATE_S:
-            # This process stood still: timers run before sockets are read, and the answer may
-            # well be there. Were it thrown away, all that was asked would be in doubt.
-            call.spared = True
-            call.timer = self.reactor.callLater(LATE_S / 4, self._expired, call)
+    def _timed_out(self, request: _PendingRequest) -> None:
+        if (
+            not request.timeout_extended
+            and self.reactor.seconds() - request.due_at > PAUSE_DETECTION_S
+        ):
+            # This process was paused. Timers run before sockets are read, so the response may
+            # have arrived already. Dropping it would leave the outcome of every open request
+            # unknown.
+            request.timeout_extended = True
+            request.timer = self.reactor.callLater(PAUSE_DETECTION_S / 4, self._timed_out, request)
             return
-        for wire in self.busy:
-            if wire.call is call:
-                wire.call = None
-                wire.transport.abortConnection()
+        for connection in self.busy:
+            if connection.request is request:
+                connection.request = None
+                connection.transport.abortConnection()
                 break
-        call.finish(None, b"")
-
-    def ready(self, wire: _Wire) -> None:
-        """A connection is free."""
-        if wire in self.busy:
-            self.busy.discard(wire)
-        elif wire.served == 0:
-            self.opening -= 1
-        self.idle.append(wire)
-        self._pump()
-
-    def lost(self, wire: _Wire) -> None:
-        """A connection has ended."""
-        self.busy.discard(wire)
-        if wire in self.idle:
-            self.idle.remove(wire)
-        self.reactor.callLater(0, self._pump)
-
-    def failed(self) -> None:
-        """A connection could not be opened: whoever waits for one has no answer."""
-        self.opening -= 1
-        waiting, self.queue = self.queue, deque()
-        for call in waiting:
-            call.finish(None, b"")
+        request.finish(None, b"")
+
+    def connection_ready(self, connection: _Connection) -> None:
+        """Use a connection that has become free for the next request."""
+        if connection in self.busy:
+            self.busy.discard(connection)
+        elif connection.response_count == 0:
+            self.opening_count -= 1
+        self.idle.append(connection)
+        self._send_queued()
+
+    def connection_lost(self, connection: _Connection) -> None:
+        """Forget a connection that has been closed."""
+        self.busy.discard(connection)
+        if connection in self.idle:
+            self.idle.remove(connection)
+        self.reactor.callLater(0, self._send_queued)
+
+    def connection_failed(self) -> None:
+        """Fail all queued requests, as a connection could not be opened."""
+        self.opening_count -= 1
+        queued_requests, self.queue = self.queue, deque()
+        for request in queued_requests:
+            request.finish(None, b"")
 
     def close_idle(self) -> None:
-        """Close connections nobody uses."""
-        for wire in list(self.idle):
-            wire.transport.loseConnection()
+        """Close the connections that carry no request."""
+        for connection in list(self.idle):
+            connection.transport.loseConnection()
--- a/sagecove/transport/server.py
+++ b/sagecove/transport/server.py
@@ -1,9 +1,9 @@
-"""HTTP server on twisted.web's channel, without the resource tree: a handful of fixed paths.
+"""HTTP server on the channel of twisted.web, without its resource tree.
 
-Nobody locks the others out: a connection that never completes a request is dropped after a while,
-and at once, oldest first, when sockets run out. All users come through the load balancer, so no
-address is held to a share while there is room; when there is none, the address with the most idle
-connections gives one up.
+No client can lock out the others. A connection that does not complete a request is dropped after
+a timeout, or at once, oldest first, when sockets run out. All users come through the load
+balancer, so the connections of an address are not limited while sockets are left; when there are
+none, the address with the most idle connections loses one.
 """
 
 import io
@@ -15,60 +15,64 @@
 from twisted.internet.protocol import ServerFactory
 from twisted.web import http
 
-BODY_MOST = 64 * 1024
-# A request line and headers may have so many bytes together.
-HEADERS_MOST = 8 * 1024
-# Ratios to the pace of workers' reports: the time that a request's head may take from its first
-# byte (or the connection's start), its body after that, and a connection without a request.
-HEAD_PACES, BODY_PACES, IDLE_PACES = 2, 4, 40
-# Between two looks for connections whose time is over, and between two lines that tell of them.
-LOOK_S, TOLD_S = 1.0, 10.0
+BODY_LIMIT_BYTES = 64 * 1024
+# For the request line and the headers together.
+HEADERS_LIMIT_BYTES = 8 * 1024
+# Timeouts as multiples of the interval between two reports of a worker: for the head of a request
+# from its first byte (or the start of the connection), for the body after that, and for
+# a connection without a request.
+HEAD_TIMEOUT_RATIO, BODY_TIMEOUT_RATIO, IDLE_TIMEOUT_RATIO = 2, 4, 40
+# Between two checks for connections that have timed out, and between two log lines about them.
+CHECK_INTERVAL_S, LOG_INTERVAL_S = 1.0, 10.0
 
 log = logging.getLogger("sagecove.server")
 
 
 class Exchange(http.Request):
-    """One request. `reply` may be called once, now or later, even if the client has gone."""
+    """A request; `reply` may be called once, at any time, even if the client has disconnected."""
 
-    _gone = False
-    _too_long = False
+    _client_gone = False
+    _body_too_long = False
 
     def gotLength(self, length: int | None) -> None:
-        """Keep bodies in memory: they are bounded, and the disk does not exist."""
+        """Keep the body in memory, as its size is limited and there is no disk to write it to."""
         self.content = io.BytesIO()
-        if length is not None and length > BODY_MOST:
-            self.channel.refuse(b"413 Content Too Large", b"the body is longer than 64 KiB")
+        if length is not None and length > BODY_LIMIT_BYTES:
+            self.channel.reject(b"413 Content Too Large", b"the body is longer than 64 KiB")
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Collect the body up to the protocol's limit; what is beyond is read and thrown away."""
-        if self.content.tell() + len(data) > BODY_MOST:
-            self._too_long = True
+        """Collect the body up to the limit of the protocol; the rest is read and discarded."""
+        if self.content.tell() + len(data) > BODY_LIMIT_BYTES:
+            self._body_too_long = True
         else:
             self.content.write(data)
 
     def requestReceived(self, command: bytes, path: bytes, version: bytes) -> None:
-        """All of a request is here. twisted would look into forms and cookies first, which nobody
-        sends here and which costs as much as all the rest of a worker's report."""
+        """Process a complete request without parsing forms and cookies.
+
+        twisted parses both first. No client sends them here, and that parsing costs as much as
+        all the other work on a worker's report.
+        """
         self.method, self.uri, self.clientproto = command, path, version
         self.path = path
         self.process()
 
     def process(self) -> None:
-        """The request is complete."""
-        self.notifyFinish().addErrback(self._lost)
-        if self._too_long:
+        """Pass a complete request to the handler."""
+        self.notifyFinish().addErrback(self._connection_ended)
+        if self._body_too_long:
             self.reply(400, b'{"error":"the body is longer than 64 KiB"}')
             return
         handler: Callable[[str, str, bytes, Exchange], None] = self.channel.factory.handler
         path = self.path.decode("latin-1")
         handler(self.method.decode("latin-1"), path, self.content.getvalue(), self)
 
-    def _lost(self, _reason: Any) -> None:
-        self._gone = True
+    def _connection_ended(self, _reason: Any) -> None:
+        self._client_gone = True
 
     def reply(self, status: int, body: bytes, retry_after: float | None = None) -> None:
-        """Answer the request."""
-        if self._gone or self.finished:
+        """Send the response, unless the client has disconnected."""
+        if self._client_gone or self.finished:
             return
         self.setResponseCode(status)
         headers = self.responseHeaders
@@ -83,7 +87,9 @@
 class Server(ServerFactory):
     """Accepts connections and passes each request to `handler(method, path, body, exchange)`.
 
-    `most`: connections at one time; `pace`: seconds between two reports of a worker."""
+    At most `max_connections` are open at a time. The timeouts are multiples of `report_s`, the
+    seconds between two reports of a worker.
+    """
 
     def __init__(
         self,
@@ -95,121 +101,129 @@
         self.handler = handler
         self.reactor = reactor
         self.max_connections = max_connections
-        self.head_s = HEAD_PACES * report_s
-        self.body_s = BODY_PACES * report_s
-        self.idle_s = IDLE_PACES * report_s
+        self.head_timeout_s = HEAD_TIMEOUT_RATIO * report_s
+        self.body_timeout_s = BODY_TIMEOUT_RATIO * report_s
+        self.idle_timeout_s = IDLE_TIMEOUT_RATIO * report_s
         self.open_count = 0
-        # Connections whose next request is not complete, and such that wait for one; oldest first.
+        # Connections with an incomplete request, and connections that wait for a request; oldest
+        # first.
         self.incomplete: dict[_Channel, None] = {}
         self.idle: dict[_Channel, None] = {}
-        self.turned_away: Counter[str] = Counter()
-        self.told_at = 0.0
-        self.look_at = 0.0
-        self.looking: Any = None
+        self.dropped_counts: Counter[str] = Counter()
+        self.logged_at = 0.0
+        self.next_check_at = 0.0
+        self.check_timer: Any = None
 
     def startFactory(self) -> None:
-        """Listening begins."""
-        self._look_later()
+        """Start the check for timed-out connections when the server begins to listen."""
+        self._schedule_check()
 
     def stopFactory(self) -> None:
-        """Listening ends."""
-        self.looking.cancel()
+        """Stop the check for timed-out connections when the server stops listening."""
+        self.check_timer.cancel()
 
-    def _look_later(self) -> None:
-        self.look_at = self.reactor.seconds() + LOOK_S
-        self.looking = self.reactor.callLater(LOOK_S, self._look)
+    def _schedule_check(self) -> None:
+        self.next_check_at = self.reactor.seconds() + CHECK_INTERVAL_S
+        self.check_timer = self.reactor.callLater(CHECK_INTERVAL_S, self._check_timeouts)
 
-    def _look(self) -> None:
-        """Drop the connections whose time is over, and tell how many were turned away."""
+    def _check_timeouts(self) -> None:
+        """Drop connections that have timed out, and log how many were dropped or refused."""
         now = self.reactor.seconds()
-        late = now - self.look_at
-        if late > LOOK_S / 2:
-            # This process stood still: what came meanwhile has not been read yet.
+        late_s = now - self.next_check_at
+        if late_s > CHECK_INTERVAL_S / 2:
+            # This process was paused, so data that arrived meanwhile has not been read yet.
             for channel in (*self.incomplete, *self.idle):
-                channel.due += late
-        self._look_later()
-        for channel in [c for c in self.incomplete if now > c.due]:
-            self.turn_away(channel, "slow")
-        for channel in [c for c in self.idle if now > c.due]:
+                channel.due_at += late_s
+        self._schedule_check()
+        for channel in [channel for channel in self.incomplete if now > channel.due_at]:
+            self.drop(channel, "slow")
+        for channel in [channel for channel in self.idle if now > channel.due_at]:
             channel.transport.loseConnection()
-        if self.turned_away and now - self.told_at > TOLD_S:
-            self.told_at = now
-            told = " ".join(f"{why}={count}" for why, count in sorted(self.turned_away.items()))
-            log.info("connections turned away open=%d %s", self.open_count, told)
-            self.turned_away.clear()
-
-    def turn_away(self, channel: "_Channel", why: str) -> None:
-        """End a connection at once."""
-        self.turned_away[why] += 1
+        if self.dropped_counts and now - self.logged_at > LOG_INTERVAL_S:
+            self.logged_at = now
+            reasons = " ".join(
+                f"{why}={count}" for why, count in sorted(self.dropped_counts.items())
+            )
+            log.info("connections turned away open=%d %s", self.open_count, reasons)
+            self.dropped_counts.clear()
+
+    def drop(self, channel: "_Channel", why: str) -> None:
+        """Abort a connection and count the reason."""
+        self.dropped_counts[why] += 1
         self.incomplete.pop(channel, None)
         self.idle.pop(channel, None)
         channel.transport.abortConnection()
 
-    def _make_room(self) -> bool:
-        """Out of sockets: the oldest connection without a whole request makes room; else, of the
-        address that has most, the one that has been idle for longest."""
+    def _free_connection(self) -> bool:
+        """Drop a connection to free its socket; return whether one was found.
+
+        The oldest connection with an incomplete request is dropped. If there is none, the address
+        with the most idle connections loses the one that has been idle for longest.
+        """
         if self.incomplete:
-            self.turn_away(next(iter(self.incomplete)), "evicted")
+            self.drop(next(iter(self.incomplete)), "evicted")
             return True
         if self.idle:
-            counts = Counter(channel.peer for channel in self.idle)
+            counts = Counter(channel.peer_host for channel in self.idle)
             peer, most = counts.most_common(1)[0]
             if most > 1:
-                self.turn_away(next(c for c in self.idle if c.peer == peer), "evicted")
+                self.drop(
+                    next(channel for channel in self.idle if channel.peer_host == peer), "evicted"
+                )
                 return True
-        self.turned_away["refused"] += 1
+        self.dropped_counts["refused"] += 1
         return False
 
     def buildProtocol(self, addr: Any) -> Any:
-        """A channel for a new connection, or none when the process is out of sockets."""
-        if self.open_count >= self.max_connections and not self._make_room():
+        """Return a channel for a new connection, or None if no socket is left for it."""
+        if self.open_count >= self.max_connections and not self._free_connection():
             return None
         channel = _Channel()
         channel.requestFactory = Exchange
         channel.factory = self
         channel.site = self
         channel.callLater = self.reactor.callLater
-        # The server keeps time for all of them.
+        # The server checks the timeouts of all connections itself.
         channel.timeOut = None
-        channel.peer = getattr(addr, "host", "")
-        channel.begin()
+        channel.peer_host = getattr(addr, "host", "")
+        channel.expect_request()
         self.open_count += 1
         return channel
 
     def log(self, request: Any) -> None:
-        """No access log: requests are logged by the service at `debug`."""
+        """Write no access log, as the service logs requests at level `debug`."""
 
 
 class _Channel(http.HTTPChannel):
-    """A connection: `half` until a request is there as a whole, then busy, then idle."""
+    """A connection: incomplete until a request has fully arrived, then busy, then idle."""
 
-    totalHeadersSize = HEADERS_MOST
-    MAX_LENGTH = HEADERS_MOST
-    due = 0.0
-    peer = ""
-    refused = False
+    totalHeadersSize = HEADERS_LIMIT_BYTES
+    MAX_LENGTH = HEADERS_LIMIT_BYTES
+    due_at = 0.0
+    peer_host = ""
+    rejected = False
 
-    def begin(self) -> None:
-        """A request may be on its way from now on."""
+    def expect_request(self) -> None:
+        """Expect a request, and start the timeout for its head."""
         server = self.factory
-        self.due = server.reactor.seconds() + server.head_s
+        self.due_at = server.reactor.seconds() + server.head_timeout_s
         server.incomplete[self] = None
 
     def dataReceived(self, data: bytes) -> None:
-        if self.refused:
+        if self.rejected:
             return
         if self in self.factory.idle:
             del self.factory.idle[self]
-            self.begin()
+            self.expect_request()
         super().dataReceived(data)
 
     def allHeadersReceived(self) -> None:
         server = self.factory
-        self.due = server.reactor.seconds() + server.body_s
+        self.due_at = server.reactor.seconds() + server.body_timeout_s
         super().allHeadersReceived()
 
     def allContentReceived(self) -> None:
-        if self.refused:
+        if self.rejected:
             return
         self.factory.incomplete.pop(self, None)
         self.factory.idle.pop(self, None)
@@ -217,14 +231,14 @@
 
     def requestDone(self, request: Any) -> None:
         server = self.factory
-        self.due = server.reactor.seconds() + server.idle_s
+        self.due_at = server.reactor.seconds() + server.idle_timeout_s
         server.idle[self] = None
         super().requestDone(request)
 
-    def refuse(self, status: bytes, why: bytes) -> None:
-        """Answer before the request is there as a whole, and read no more of it."""
-        self.refused = True
-        self.factory.turned_away[status[:3].decode()] += 1
+    def reject(self, status: bytes, why: bytes) -> None:
+        """Answer a request with an error before it is complete, and read no more of it."""
+        self.rejected = True
+        self.factory.dropped_counts[status[:3].decode()] += 1
         body = b'{"error":"%s"}' % why
         self.transport.write(
             b"HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n"
@@ -235,12 +249,12 @@
     def _respondToBadRequestAndDisconnect(self) -> None:
         if self._receivedHeaderSize > self.totalHeadersSize:
             self.lineLengthExceeded(b"")
-        elif not self.refused:
-            self.refuse(b"400 Bad Request", b"not HTTP as it should be")
+        elif not self.rejected:
+            self.reject(b"400 Bad Request", b"not HTTP as it should be")
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        if not self.refused:
-            self.refuse(b"431 Request Header Fields Too Large", b"the headers are too long")
+        if not self.rejected:
+            self.reject(b"431 Request Header Fields Too Large", b"the headers are too long")
 
     def connectionLost(self, reason: Any) -> None:
         self.factory.open_count -= 1
