--- a/sagecove/__init__.py
+++ b/sagecove/__init__.py
@@ -1,6 +1,6 @@
-"""sagecove, a cluster scheduler whose controllers compete for work through leases.
+"""A cluster scheduler whose controllers compete for work through leases.
 
-Importing the package has no side effects; `sagecove.cli:main` is the program.
+Importing the package has no side effects; the program's entry point is `sagecove.cli:main`.
 """
 
 __version__ = "0.1.0"
--- a/sagecove/__main__.py
+++ b/sagecove/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m sagecove`."""
+"""Runs the command line with `python -m sagecove`."""
 
 import sys
 
--- a/sagecove/command_groups.py
+++ b/sagecove/command_groups.py
@@ -1,4 +1,4 @@
-"""Nouns of the command line that features bring, and the modules that have their verbs."""
+"""Command groups that are implemented in modules of their own, loaded only when used."""
 
 COMMAND_MODULES = {
     "sweep": "sagecove.sweeps.commands",
--- a/sagecove/config.py
+++ b/sagecove/config.py
@@ -1,7 +1,7 @@
-"""The platform's settings file, checked; and the figures derived from it as ratios.
+"""Reads and checks the platform's settings file, and derives other settings from it.
 
-Unknown fields are ignored. What is missing or makes no sense is reported as one line naming the
-field (`SettingsError`).
+Unknown fields are ignored. A missing or invalid field raises `SettingsError` with one line that
+names the field.
 """
 
 from typing import Annotated
@@ -9,14 +9,14 @@
 import msgspec
 
 Positive = Annotated[float, msgspec.Meta(gt=0)]
-Share = Annotated[float, msgspec.Meta(gt=0, le=64)]
-Amount = Annotated[float, msgspec.Meta(ge=0)]
+CpuShare = Annotated[float, msgspec.Meta(gt=0, le=64)]
+NonNegative = Annotated[float, msgspec.Meta(ge=0)]
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=100, pattern=r"^[^\s/]+\Z")]
 Address = Annotated[str, msgspec.Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}\Z")]
 
 
 class SettingsError(Exception):
-    """The settings are missing a field or make no sense."""
+    """The settings are unreadable, incomplete or inconsistent."""
 
 
 class Peer(msgspec.Struct, rename={"zone": "area", "addr": "endpoint"}):
@@ -28,30 +28,33 @@
 
 
 class ServiceAddresses(msgspec.Struct):
-    """Where the cloud and the state service answer."""
+    """The addresses of the cloud and the state service."""
 
     cloud: Address
     state: Address
 
 
-# A worker takes no answer after this time (seconds, from PROTOCOL).
+# A worker accepts no answer later than this (PROTOCOL).
 WORKER_ANSWER_TIMEOUT_S = 4.0
-# A shorter lease would end between two requests to the state service that get no answer.
-LEAST_S = 2.0
+# A shorter lease would expire between two requests to the state service that get no answer.
+MIN_LEASE_S = 2.0
 
-# Stands for "no limit": more than any fleet has, and still a number that records can carry.
+# Represents "no limit": more than any fleet has, and still a number that records can hold.
 UNLIMITED_AMOUNT = 1e9
 
 
 class Team(msgspec.Struct):
-    """A team's guarantee and limit. In the settings a limit of 0 means that there is none: taken
-    for a limit of nothing, it once had every job of a guest team refused as impossible."""
+    """A team's guarantee and limit.
+
+    A limit of 0 in the settings means that there is no limit. It was once treated as a limit of
+    zero, and every job of a guest team was refused as impossible.
+    """
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=150, pattern=r"^[^\s/]+\Z")]
-    cpus: Amount
-    cpus_max: Amount
-    gpus: Amount = 0.0
-    gpus_max: Amount = 0.0
+    cpus: NonNegative
+    cpus_max: NonNegative
+    gpus: NonNegative = 0.0
+    gpus_max: NonNegative = 0.0
 
     def __post_init__(self) -> None:
         self.cpus_max = self.cpus_max or UNLIMITED_AMOUNT
@@ -59,7 +62,7 @@
 
 
 class Objective(msgspec.Struct, rename={"klass": "class"}):
-    """An aim, as the users state it."""
+    """A service-level objective, as the users state it."""
 
     kind: str
     klass: str = ""
@@ -69,7 +72,7 @@
 
 
 class WorkerTimes(msgspec.Struct):
-    """The workers' pace."""
+    """Intervals and timeouts of workers and their tasks."""
 
     report_s: Positive
     lease_s: Positive
@@ -79,7 +82,7 @@
 
 
 class StateServiceLimits(msgspec.Struct):
-    """The state service's limits."""
+    """Limits of the state service."""
 
     rps: Positive
     write_rps: Positive
@@ -88,22 +91,22 @@
 
 
 class CloudLimits(msgspec.Struct):
-    """The cloud's limits."""
+    """Limits of the cloud."""
 
     rps: Positive
-    list_lag_s: Amount
+    list_lag_s: NonNegative
 
 
 class Resources(msgspec.Struct, rename={"cpu_share": "core_share", "memory_mb": "ram_mb"}):
-    """What this process may use."""
+    """Resources that this process may use."""
 
-    cpu_share: Share
+    cpu_share: CpuShare
     memory_mb: Positive
     fd_limit: Annotated[int, msgspec.Meta(ge=32)]
 
 
 class ClusterSettings(msgspec.Struct):
-    """The cluster as a whole."""
+    """Settings of the whole cluster."""
 
     size: Annotated[int, msgspec.Meta(ge=1)]
     zones: Annotated[list[Name], msgspec.Meta(min_length=1)]
@@ -113,7 +116,7 @@
     cloud: CloudLimits
     resources: Resources
     objectives: list[Objective] = []
-    time_bound_ms: Amount = 5.0
+    time_bound_ms: NonNegative = 5.0
 
 
 class Settings(
@@ -126,7 +129,7 @@
         "params": "cluster",
     },
 ):
-    """The file the platform hands over."""
+    """The content of the platform's settings file."""
 
     node: Name
     zone: Name
@@ -138,41 +141,46 @@
 
     @property
     def nodes(self) -> list[str]:
-        """All controllers, this one first."""
+        """Names of all controllers, this one first."""
         return [self.node, *(peer.node for peer in self.peers)]
 
     @property
     def clock_drift_ratio(self) -> float:
-        """Two steady clocks may differ by this share (twice the bound of one, from PROTOCOL)."""
+        """The ratio by which two clocks may drift apart: twice the bound of one (PROTOCOL)."""
         return 0.001
 
     @property
     def poll_interval_s(self) -> float:
-        """The pace of claims: DESIGN's pollInterval is 1.5 s with a lease of 20 s, kept as a ratio
-        to the report pace (seconds)."""
+        """Seconds between two scheduling passes.
+
+        The pollInterval of DESIGN is 1.5 s with a lease of 20 s; shorter report intervals scale it
+        down.
+        """
         return min(1.5, self.params.workers.report_s / 2)
 
     @property
     def lease_s(self) -> float:
-        """Length of a controller's lease in the state service, and of a peer's promise.
-
-        A holder that is cut off must be replaced before its workers' leases run out, and a
-        cancellation it cannot see must still be honoured: lease + worker lease + a worker's save
-        and a margin stay below `cancel_s`. Outages that last longer are outlived by promises.
-
-        As a sum, from the moment a user is told: a holder that does not know acts at most one
-        length longer (by its lease, or by a promise given before); a launch of then gets no answer
-        for `ANSWER_S`; and its worker was answered until then, and has its lease from there on.
-        Each by clocks that differ by `drift`.
+        """Seconds of a controller's lease in the state service, and of a promise to a peer.
+
+        A holder that is cut off must be replaced before the leases of its workers expire, and
+        a cancellation that it cannot see must still take effect: the lease, the worker lease, the
+        time a worker takes to save, and a margin must add up to less than `cancel_s`. Promises
+        cover outages that last longer.
+
+        The sum, from the moment when a user gets the answer to a cancellation: a holder that does
+        not know of it acts for at most one more lease (its own, or a promise given before);
+        a launch sent at the end of that gets no answer for `WORKER_ANSWER_TIMEOUT_S`; the worker
+        may have been answered until then, and its lease begins there. Each of these is measured
+        by clocks that differ by `clock_drift_ratio`.
         """
         workers = self.params.workers
-        left = workers.cancel_s - WORKER_ANSWER_TIMEOUT_S
-        fits = left / (1 + self.clock_drift_ratio) - workers.lease_s
-        return min(0.65 * workers.lease_s, 0.72 * (workers.cancel_s - workers.lease_s), fits)
+        available_s = workers.cancel_s - WORKER_ANSWER_TIMEOUT_S
+        longest_s = available_s / (1 + self.clock_drift_ratio) - workers.lease_s
+        return min(0.65 * workers.lease_s, 0.72 * (workers.cancel_s - workers.lease_s), longest_s)
 
 
 def read_file(path: str) -> bytes:
-    """A file's content; `SettingsError` if it can't be had."""
+    """Return the content of a file; raise `SettingsError` if it cannot be read."""
     try:
         with open(path, "rb") as file:
             return file.read()
@@ -181,10 +189,10 @@
 
 
 def load_settings(path: str) -> Settings:
-    """Read and check a settings file."""
-    raw = read_file(path)
+    """Read and check a settings file; raise `SettingsError` if it is invalid."""
+    content = read_file(path)
     try:
-        settings = msgspec.json.decode(raw, type=Settings)
+        settings = msgspec.json.decode(content, type=Settings)
     except msgspec.MsgspecError as error:
         raise SettingsError(f"{path}: {error}") from None
     names = settings.nodes
@@ -193,10 +201,10 @@
     workers = settings.params.workers
     if workers.cancel_s <= workers.lease_s:
         raise SettingsError(f"{path}: `$.cluster.workers.cancel_s` must exceed `lease_s`")
-    if settings.lease_s < LEAST_S:
+    if settings.lease_s < MIN_LEASE_S:
         raise SettingsError(
-            f"{path}: `$.cluster.workers`: no controller's lease of {LEAST_S:g} s fits into "
-            f"`cancel_s` less `lease_s`: {max(0.0, settings.lease_s):.1f} s are left for it"
+            f"{path}: `$.cluster.workers`: a controller's lease of {MIN_LEASE_S:g} s does not"
+            f" fit into `cancel_s` minus `lease_s`: {max(0.0, settings.lease_s):.1f} s are left for it"
         )
     if workers.report_s >= workers.lease_s:
         raise SettingsError(f"{path}: `$.cluster.workers.report_s` must be below `lease_s`")
@@ -209,6 +217,6 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of an address."""
+    """Return the host and port of an address."""
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/sagecove/controller_client.py
+++ b/sagecove/controller_client.py
@@ -1,50 +1,56 @@
-"""Asking controllers from the command line."""
+"""HTTP requests from the command line to controllers."""
 
 import http.client
 import json
 import sys
 from typing import Any
 
-# Where controllers are asked: addresses with commas between, tried in this order.
+# Environment variable with the addresses of controllers, separated by commas, tried in this order.
 CONTROLLERS_VARIABLE = "SAGECOVE_CONTROLLERS"
 DEFAULT_CONTROLLERS = "127.0.0.1:8080"
 
 
 class RequestFailed(Exception):
-    """A command was refused or nobody answered: one line for the user, and status 1. `status`:
-    that of the last answer, if there was one."""
+    """A request was refused, or no controller answered.
 
-    def __init__(self, why: str, status: int | None = None) -> None:
-        super().__init__(why)
+    The message is one line for the user, and the command exits with status 1. `status` is the HTTP
+    status of the last answer, if there was one.
+    """
+
+    def __init__(self, reason: str, status: int | None = None) -> None:
+        super().__init__(reason)
         self.status = status
 
 
 def ask_controllers(controllers: str, method: str, path: str, body: bytes | None = None) -> Any:
-    """Ask the controllers in turn until one gives an answer that is not "not now"."""
-    last, status = "no address", None
+    """Send a request to each controller in turn until one accepts or finally refuses it."""
+    last_error, status = "no address", None
     for address in controllers.split(","):
         try:
             connection = http.client.HTTPConnection(address.strip(), timeout=5)
             headers = {"Content-Type": "application/json"} if body is not None else {}
             connection.request(method, path, body, headers)
-            answer = connection.getresponse()
-            content = json.loads(answer.read() or b"null")
+            response = connection.getresponse()
+            content = json.loads(response.read() or b"null")
             connection.close()
         except (OSError, http.client.HTTPException, ValueError) as error:
-            last = f"{address.strip()}: {error}"
+            last_error = f"{address.strip()}: {error}"
             continue
-        status = answer.status
+        status = response.status
         if status in (200, 201):
             return content
-        why = content.get("error", "") if isinstance(content, dict) else ""
-        last = f"{address.strip()} answers {status}: {why}"
+        reason = content.get("error", "") if isinstance(content, dict) else ""
+        last_error = f"{address.strip()} answers {status}: {reason}"
         if status not in (429, 503, 504):
-            raise RequestFailed(last, status)
-    raise RequestFailed(f"no controller can answer ({last})", status)
+            raise RequestFailed(last_error, status)
+    raise RequestFailed(f"no controller can answer ({last_error})", status)
 
 
 def read_json(path: str) -> bytes:
-    """A file's JSON as it stands (`-`: standard input); `ValueError` names a mistake's place."""
+    """Read a file (`-`: standard input) unchanged, and check that it is JSON.
+
+    Raises `ValueError` with the line and column of a syntax error.
+    """
     if path == "-":
         text, name = sys.stdin.read(), "standard input"
     else:
--- a/sagecove/features.py
+++ b/sagecove/features.py
@@ -1,7 +1,7 @@
-"""What is turned on beyond the core: a file of tables, each a feature's name with its settings.
+"""Optional features, enabled by a TOML file with one table of settings per feature.
 
-A feature is a package with a `feature` module that has `Options`, a struct of its settings, and
-`make(owner, options)`. Nothing of it is imported while it is off.
+A feature is a package whose `feature` module has `Options`, a struct of its settings, and
+`make(owner, options)`. Nothing of the package is imported while the feature is disabled.
 """
 
 from __future__ import annotations
@@ -20,56 +20,59 @@
     from sagecove.coordination.interfaces import Feature
     from sagecove.coordination.owner import Owner
 
-# Name of a feature and of its table: the module that makes it.
-FEATURES = {"sweeps": "sagecove.sweeps.feature"}
+# Module of each feature, by the name of the feature and its table.
+FEATURE_MODULES = {"sweeps": "sagecove.sweeps.feature"}
 
 ChosenFeatures = list[tuple[str, Any]]
 
 
 def load_features(path: str) -> ChosenFeatures:
-    """Features that a file turns on, with their options; `SettingsError` names file and line."""
+    """Return the features that a file enables, with their options.
+
+    Raises `SettingsError` with the file and the line of a mistake.
+    """
     raw = read_file(path)
     try:
         text = raw.decode()
         tables = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from None
-    chosen: ChosenFeatures = []
+    enabled_features: ChosenFeatures = []
     for name, table in tables.items():
-        if name not in FEATURES:
-            known = ", ".join(FEATURES)
+        if name not in FEATURE_MODULES:
+            known = ", ".join(FEATURE_MODULES)
             raise SettingsError(
-                f"{path}:{_line(text, name)}: there is no feature {name}; there are: {known}"
+                f"{path}:{_line_of(text, name)}: there is no feature {name}; there are: {known}"
             )
         if not isinstance(table, dict):
-            raise SettingsError(f"{path}:{_line(text, name)}: {name} must be a table, [{name}]")
+            raise SettingsError(f"{path}:{_line_of(text, name)}: {name} must be a table, [{name}]")
         enabled = table.pop("enabled", True)
         if not isinstance(enabled, bool):
-            raise SettingsError(f"{path}:{_line(text, 'enabled', name)}: true or false, no other")
+            raise SettingsError(f"{path}:{_line_of(text, 'enabled', name)}: true or false expected")
         if enabled:
-            chosen.append((name, _options(path, text, name, table)))
-    return chosen
+            enabled_features.append((name, _options(path, text, name, table)))
+    return enabled_features
 
 
 def _options(path: str, text: str, name: str, table: dict[str, Any]) -> Any:
-    kind = importlib.import_module(FEATURES[name]).Options
-    fields = {field.name for field in msgspec.structs.fields(kind)}
+    options_type = importlib.import_module(FEATURE_MODULES[name]).Options
+    fields = {field.name for field in msgspec.structs.fields(options_type)}
     for key in table:
         if key not in fields:
             raise SettingsError(
-                f"{path}:{_line(text, key, name)}: {name} has no setting {key}; it has:"
+                f"{path}:{_line_of(text, key, name)}: {name} has no setting {key}; it has:"
                 f" {', '.join(sorted(fields))}"
             )
     try:
-        return msgspec.convert(table, kind)
+        return msgspec.convert(table, options_type)
     except msgspec.ValidationError as error:
         field = re.search(r"`\$\.(\w+)", str(error))
-        line = _line(text, field[1], name) if field else _line(text, name)
+        line = _line_of(text, field[1], name) if field else _line_of(text, name)
         raise SettingsError(f"{path}:{line}: {error}") from None
 
 
-def _line(text: str, key: str, table: str = "") -> int:
-    """Where a key stands, from 1: below its table's heading, if it is in one."""
+def _line_of(text: str, key: str, table: str = "") -> int:
+    """Return the line number of a key, searched below the heading of `table` if one is given."""
     inside = not table
     for number, line in enumerate(text.splitlines(), 1):
         if re.match(rf"\s*\[\s*{re.escape(table or key)}\s*\]", line):
@@ -81,12 +84,13 @@
     return 1
 
 
-def feature_factory(chosen: ChosenFeatures) -> Callable[[Owner], list[Feature]]:
-    """What makes the chosen features for an owner."""
+def feature_factory(enabled_features: ChosenFeatures) -> Callable[[Owner], list[Feature]]:
+    """Return a function that creates the enabled features for an owner."""
 
     def make(owner: Owner) -> list[Feature]:
         return [
-            importlib.import_module(FEATURES[name]).make(owner, options) for name, options in chosen
+            importlib.import_module(FEATURE_MODULES[name]).make(owner, options)
+            for name, options in enabled_features
         ]
 
     return make
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Stories of the command line against a stand-in controller on loopback."""
+"""Commands of the command line, sent to a stub of a controller on the loopback interface."""
 
 import json
 import threading
@@ -17,7 +17,7 @@
 
 
 class Handler(BaseHTTPRequestHandler):
-    """Gives the answer that the story has laid out for a path."""
+    """Sends the answer that the test has set for a path."""
 
     def do_GET(self) -> None:
         length = int(self.headers.get("Content-Length") or 0)
@@ -32,12 +32,12 @@
     do_POST = do_GET
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Quiet."""
+        """Write no log."""
 
 
 @pytest.fixture
 def controller() -> Iterator[str]:
-    """A stand-in's address."""
+    """Run a stub of a controller and yield its address."""
     server = HTTPServer(("127.0.0.1", 0), Handler)
     thread = threading.Thread(target=server.serve_forever, daemon=True)
     thread.start()
@@ -55,53 +55,53 @@
     ANSWERS["GET /api/jobs/run-000001"] = (200, running)
     ended = {"nameId": "run-000001", "standing": "aborted"}
     ANSWERS["POST /api/jobs/run-000001/cancel"] = (200, ended)
-    # The first controller is down; the next one is asked.
-    there = ["--controllers", f"127.0.0.1:9,{controller}"]
-    assert main(["submit", *there, str(path)]) == 0
-    assert main(["status", *there, "run-000001"]) == 0
-    assert main(["cancel", *there, "--json", "run-000001"]) == 0
+    # The first controller is down, so the command tries the next one.
+    controller_options = ["--controllers", f"127.0.0.1:9,{controller}"]
+    assert main(["submit", *controller_options, str(path)]) == 0
+    assert main(["status", *controller_options, "run-000001"]) == 0
+    assert main(["cancel", *controller_options, "--json", "run-000001"]) == 0
     out = capsys.readouterr().out.splitlines()
     assert out[0] == "run-000001: pending"
     assert out[1] == "run-000001: running, 1 tasks done, 2 running"
     assert json.loads(out[2]) == ended
 
 
-def test_bad_input_and_no_answer(controller: str, tmp_path: Path, capsys: Any) -> None:
-    there = ["--controllers", controller]
-    assert main(["status", *there, "run-000009"]) == 1
+def test_invalid_input_and_no_answer(controller: str, tmp_path: Path, capsys: Any) -> None:
+    controller_options = ["--controllers", controller]
+    assert main(["status", *controller_options, "run-000009"]) == 1
     assert "no such job" in capsys.readouterr().err
     assert main(["explain", "--controllers", "127.0.0.1:9", "run-000001"]) == 1
     err = capsys.readouterr().err
     assert "no controller can answer" in err and len(err.splitlines()) == 1
     broken = tmp_path / "job.json"
     broken.write_text('{\n  "nameId": }')
-    assert main(["submit", *there, str(broken)]) == 2
+    assert main(["submit", *controller_options, str(broken)]) == 2
     assert f"{broken}:2:13: " in capsys.readouterr().err
-    assert main(["submit", *there, str(tmp_path / "none.json")]) == 2
+    assert main(["submit", *controller_options, str(tmp_path / "none.json")]) == 2
     with pytest.raises(SystemExit) as stop:
         main(["explain"])
     assert stop.value.code == 2
 
 
-def test_views_are_shown_as_the_service_tells_them(controller: str, capsys: Any) -> None:
-    w = World()
+def test_explain_and_cluster_show_answers_of_the_service(controller: str, capsys: Any) -> None:
+    world = World()
     for _ in range(2):
-        w.cloud.start_machine("small", "a", False)
-    w.run(3)
-    w.cloud.capacity = {"small": 2, "gpu": 0}
-    w.failing_jobs.add("run-000001")
-    w.submit("n0", job_submission(1, hands=3))
-    w.run(30)
-    w.submit("n1", job_submission(2, hands=40, rank="low"))
-    w.run(3)
-    teller = next(n for n, o in w.owners.items() if o.jobs["run-000001"].judged_faulty)
-    ANSWERS["GET /explain/run-000001"] = w.user_request(teller, "GET", "/explain/run-000001")
-    ANSWERS["GET /cluster"] = w.user_request(teller, "GET", "/cluster")
-    there = ["--controllers", controller]
-    assert main(["explain", *there, "run-000001"]) == 0
+        world.cloud.start_machine("small", "a", False)
+    world.run(3)
+    world.cloud.capacity = {"small": 2, "gpu": 0}
+    world.failing_jobs.add("run-000001")
+    world.submit("n0", job_submission(1, hands=3))
+    world.run(30)
+    world.submit("n1", job_submission(2, hands=40, rank="low"))
+    world.run(3)
+    node = next(n for n, o in world.owners.items() if o.jobs["run-000001"].judged_faulty)
+    ANSWERS["GET /explain/run-000001"] = world.user_request(node, "GET", "/explain/run-000001")
+    ANSWERS["GET /cluster"] = world.user_request(node, "GET", "/cluster")
+    controller_options = ["--controllers", controller]
+    assert main(["explain", *controller_options, "run-000001"]) == 0
     out = capsys.readouterr().out
-    assert "its tasks fail on every machine" in out and f"(told by {teller})" in out
-    assert main(["cluster", *there]) == 0
+    assert "its tasks fail on every machine" in out and f"(told by {node})" in out
+    assert main(["cluster", *controller_options]) == 0
     out = capsys.readouterr().out
     assert "shard n1: held by n1" in out and "job run-000001 fails on every machine" in out
     assert "team guests: 0 CPUs of 0 guaranteed, no limit" in out
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Stories of settings and the command line."""
+"""Checks of the settings file, and the lease length derived from it."""
 
 import json
 from pathlib import Path
@@ -11,7 +11,7 @@
 from sagecove.lab.deployment import controller_settings
 
 
-def write(tmp_path: Path, change: Any = None) -> str:
+def write_settings(tmp_path: Path, change: Any = None) -> str:
     raw = json.loads(msgspec.json.encode(controller_settings(0)))
     raw["new_field"] = {"ignored": True}
     if change is not None:
@@ -21,10 +21,10 @@
     return str(path)
 
 
-def test_good_settings_pass_and_unknown_fields_are_ignored(
+def test_valid_settings_pass_and_unknown_fields_are_ignored(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert main(["check-config", write(tmp_path)]) == 0
+    assert main(["check-config", write_settings(tmp_path)]) == 0
     assert "n0" in capsys.readouterr().out
 
 
@@ -39,15 +39,15 @@
         ("members", lambda raw: raw["members"][0].update(node="n0")),
     ],
 )
-def test_settings_that_make_no_sense_get_one_line_and_status_2(
+def test_invalid_settings_give_one_line_and_status_2(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], field: str, change: Any
 ) -> None:
-    assert main(["serve", "--config", write(tmp_path, change)]) == 2
+    assert main(["serve", "--config", write_settings(tmp_path, change)]) == 2
     error = capsys.readouterr().err
     assert error.count("\n") == 1 and field in error
 
 
-def test_missing_file_and_broken_json(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_missing_file_and_invalid_json(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["check-config", str(tmp_path / "none.json")]) == 2
     broken = tmp_path / "broken.json"
     broken.write_text('{"node": ')
@@ -55,8 +55,8 @@
     assert "broken.json" in capsys.readouterr().err
 
 
-def test_leases_leave_room_for_cancellations() -> None:
-    s = controller_settings(0)
-    workers = s.params.workers
-    assert s.lease_s < workers.lease_s
-    assert s.lease_s + workers.lease_s + 4 < workers.cancel_s
+def test_leases_leave_time_for_cancellations() -> None:
+    own_settings = controller_settings(0)
+    workers = own_settings.params.workers
+    assert own_settings.lease_s < workers.lease_s
+    assert own_settings.lease_s + workers.lease_s + 4 < workers.cancel_s
