--- a/sagecove/config.py
+++ b/sagecove/config.py
@@ -204,7 +204,8 @@
     if settings.lease_s < MIN_LEASE_S:
         raise SettingsError(
             f"{path}: `$.cluster.workers`: a controller's lease of {MIN_LEASE_S:g} s does not"
-            f" fit into `cancel_s` minus `lease_s`: {max(0.0, settings.lease_s):.1f} s are left for it"
+            " fit into `cancel_s` minus `lease_s`:"
+            f" {max(0.0, settings.lease_s):.1f} s are left for it"
         )
     if workers.report_s >= workers.lease_s:
         raise SettingsError(f"{path}: `$.cluster.workers.report_s` must be below `lease_s`")
--- a/sagecove/storage/records.py
+++ b/sagecove/storage/records.py
@@ -53,8 +53,8 @@
     """
     spec = record.spec
     limit_bytes = value_kb * 1024 - 128
-    sets = (shards + 1) * taskset.max_text_bytes(spec.tasks, spec.tasks)
-    if sets + SPEC_LIMIT_BYTES < limit_bytes:
+    sets_bytes = (shards + 1) * taskset.max_text_bytes(spec.tasks, spec.tasks)
+    if sets_bytes + SPEC_LIMIT_BYTES < limit_bytes:
         return spec.tasks
     fixed_bytes = len(msgspec.json.encode(record.spec)) + 64 * shards
     # Tasks that are neither claimed nor finished but lie below the highest such task: each may
--- a/sagecove/storage/taskset.py
+++ b/sagecove/storage/taskset.py
@@ -47,8 +47,8 @@
     """Return the text form of a set."""
     runs: list[str] = []
     remaining, base = bits, 0
-    bitmap_len = bits.bit_length() // 8 * 5 // 4 + 2
-    size = 0
+    bitmap_length = bits.bit_length() // 8 * 5 // 4 + 2
+    text_length = 0
     while remaining:
         zeros = (remaining & -remaining).bit_length() - 1
         remaining >>= zeros
@@ -56,8 +56,8 @@
         ones = (~remaining & (remaining + 1)).bit_length() - 1
         run = str(base) if ones == 1 else f"{base}-{base + ones - 1}"
         runs.append(run)
-        size += len(run) + 1
-        if size > bitmap_len + 64:
+        text_length += len(run) + 1
+        if text_length > bitmap_length + 64:
             raw = bits.to_bytes((bits.bit_length() + 7) // 8, "little")
             return "b" + base64.b85encode(raw).decode()
         remaining >>= ones
@@ -77,13 +77,13 @@
     return bits
 
 
-def max_text_bytes(tasks: int, members: int, *, sets: int = 1, runs: bool = False) -> int:
-    """Return an upper bound of the text form's bytes for `members` of a job's `tasks`.
+def max_text_bytes(tasks: int, member_count: int, *, sets: int = 1, runs: bool = False) -> int:
+    """Return an upper bound of the text form's bytes for `member_count` of a job's `tasks`.
 
     The members may be spread over several `sets`. With `runs`, the bound is for a set from which
-    `members` tasks are missing.
+    `member_count` tasks are missing.
     """
     digits = len(str(tasks))
     bitmap = tasks // 8 * 5 // 4 + 2 + 64 + 2 * digits + 2
-    listed = (members + 1) * (2 * digits + 2) if runs else members * (digits + 1)
+    listed = (member_count + 1) * (2 * digits + 2) if runs else member_count * (digits + 1)
     return min(sets * bitmap, listed)
--- a/sagecove/transport/client.py
+++ b/sagecove/transport/client.py
@@ -18,6 +18,8 @@
 
 
 class _PendingRequest:
+    """A request that is queued or sent, with its callback and timeout."""
+
     __slots__ = ("data", "done", "due_at", "retried", "timeout_extended", "started", "timer")
 
     def __init__(self, data: bytes, done: ResponseCallback) -> None:
@@ -110,6 +112,8 @@
 
 
 class _Factory(ClientFactory):
+    """Creates the connections of a client."""
+
     noisy = False
 
     def __init__(self, pool: "Client") -> None:
--- a/sagecove/transport/server.py
+++ b/sagecove/transport/server.py
@@ -165,10 +165,10 @@
             return True
         if self.idle:
             counts = Counter(channel.peer_host for channel in self.idle)
-            peer, most = counts.most_common(1)[0]
+            host, most = counts.most_common(1)[0]
             if most > 1:
                 self.drop(
-                    next(channel for channel in self.idle if channel.peer_host == peer), "evicted"
+                    next(channel for channel in self.idle if channel.peer_host == host), "evicted"
                 )
                 return True
         self.dropped_counts["refused"] += 1
--- a/tests/test_values.py
+++ b/tests/test_values.py
@@ -30,17 +30,18 @@
     run = JobRun(JobRecord(spec, 1.0), 0)
     names = [f"n{n}" for n in range(shards)]
     for _ in range(40):
-        held = run.all_tasks & ~run.finished & ~run.unclaimed
-        most = (
-            max_claimable_tasks(run.record, run.finished, held, shards, value_kb) - held.bit_count()
+        claimed = run.all_tasks & ~run.finished & ~run.unclaimed
+        claimable = (
+            max_claimable_tasks(run.record, run.finished, claimed, shards, value_kb)
+            - claimed.bit_count()
         )
         claims = dict(run.claims)
-        bits = taskset.lowest(run.unclaimed, max(0, most))
+        bits = taskset.lowest(run.unclaimed, max(0, claimable))
         for index in taskset.members(bits):
             name = random.choice(names)
             claims[name] = claims.get(name, 0) | 1 << index
         done = 0
-        for index in taskset.members(held | bits):
+        for index in taskset.members(claimed | bits):
             if random.random() < 0.5:
                 done |= 1 << index
         for finished in (run.finished, run.finished | done):
@@ -67,7 +68,7 @@
     ]
     world = World(node_count=nodes, seed=3, teams=teams, checks_ledgers=False)
     world.cloud.capacity = {"small": 60, "gpu": 0}
-    sizes: dict[str, int] = {}
+    largest_sizes: dict[str, int] = {}
     transaction_sizes: list[int] = []
     change_counts: list[int] = []
 
@@ -77,7 +78,7 @@
         for change in body["then"]:
             if "put" in change:
                 kind = change["put"].rpartition("/")[0][:8]
-                sizes[kind] = max(sizes.get(kind, 0), len(json.dumps(change["v"])))
+                largest_sizes[kind] = max(largest_sizes.get(kind, 0), len(json.dumps(change["v"])))
 
     world.state.transaction_fault = record_sizes
     world.run(3)
@@ -87,7 +88,7 @@
             f"n{n % nodes}", "POST", "/api/jobs", world.add_spec(spec), lambda s, b: None
         )
     world.run(25)
-    assert sizes and max(sizes.values()) < 8 * 1024 / 2, sizes
+    assert largest_sizes and max(largest_sizes.values()) < 8 * 1024 / 2, largest_sizes
     # A transaction may have at most 64 KiB.
     assert max(transaction_sizes) < 64 * 1024 / 2
     # Thirty limit splits are written in batches of at most the size that the settings allow.
