--- a/tests/test_at_limits.py
+++ b/tests/test_at_limits.py
@@ -12,7 +12,7 @@
 from sagecove.lab.deployment import LEASE_S, REPORT_S, job_submission
 from sagecove.lab.fakes import FakeWorker
 from sagecove.lab.world import World
-from tests.test_meetings import mine, others
+from tests.test_meetings import workers_of_shard, other_nodes
 from tests.test_refused_leader import node_with_most_tasks
 
 TEAMS: list[dict[str, Any]] = [
@@ -84,7 +84,7 @@
 ) -> None:
     world = world_at_limits(nodes)
     lead = node_with_most_tasks(world, DOOMED["red"])
-    unreachable_workers = [worker for worker in mine(world, lead) if worker.tasks]
+    unreachable_workers = [worker for worker in workers_of_shard(world, lead) if worker.tasks]
     for worker in unreachable_workers:
         set_unreachable(world, worker, how, True)
     world.run(0.3)
@@ -92,7 +92,7 @@
     if change_first:
         # The successor never reads the records of the jobs.
         change(world, lead)
-    node = others(world, lead)[0]
+    node = other_nodes(world, lead)[0]
     for name in DOOMED.values():
         world.run_until(
             lambda name=name: (
@@ -133,7 +133,9 @@
     world = world_at_limits(nodes)
     lead = node_with_most_tasks(world, DOOMED["red"])
     # With only one worker unreachable, the others free room within the limits for new tasks.
-    unreachable_workers = [worker for worker in mine(world, lead) if worker.tasks][:worker_limit]
+    unreachable_workers = [worker for worker in workers_of_shard(world, lead) if worker.tasks][
+        :worker_limit
+    ]
     world.kill_node(lead)
     node = sorted(world.owners)[0]
     for name in DOOMED.values():
--- a/tests/test_meetings.py
+++ b/tests/test_meetings.py
@@ -19,56 +19,60 @@
 COPIES = {"no copies": [], "copies": [1.0, 5.0, 30.0]}
 
 
-def world(copies: list[float], nodes: int = 3) -> World:
+def world_with_two_services(copies: list[float], nodes: int = 3) -> World:
     """Build a world whose machines run a service that stays (LONG) and one to cancel (DOOMED)."""
-    w = World(node_count=nodes)
-    w.cloud.capacity = {"small": 3 * nodes, "gpu": 0}
+    world = World(node_count=nodes)
+    world.cloud.capacity = {"small": 3 * nodes, "gpu": 0}
     for i in range(3 * nodes):
-        w.cloud.start_machine("small", "ab"[i % 2], False)
-    w.run(3)
-    for name in w.workers:
-        w.report_copy_delays_s[name] = copies
+        world.cloud.start_machine("small", "ab"[i % 2], False)
+    world.run(3)
+    for name in world.workers:
+        world.report_copy_delays_s[name] = copies
     for n in (1, 2):
         spec = job_submission(
             n, shape="service", hands=2 * nodes, vcpus=1.0, memoryGb=2.0, rank="urgent"
         )
-        w.submit("n0", spec)
-    w.run_until(lambda: w.running_task_count(LONG) == w.running_task_count(DOOMED) == 2 * nodes, 90)
-    w.run(3)
-    w.poll_jobs()
-    return w
+        world.submit("n0", spec)
+    world.run_until(
+        lambda: world.running_task_count(LONG) == world.running_task_count(DOOMED) == 2 * nodes, 90
+    )
+    world.run(3)
+    world.poll_jobs()
+    return world
 
 
-def others(w: World, node: str) -> list[str]:
-    return [n for n in sorted(w.owners) if n != node]
+def other_nodes(world: World, node: str) -> list[str]:
+    return [n for n in sorted(world.owners) if n != node]
 
 
-def mine(w: World, node: str) -> list[FakeWorker]:
+def workers_of_shard(world: World, node: str) -> list[FakeWorker]:
     """Return the workers of a controller's own shard."""
-    shards = {m.name for m in w.owners[node].machines.values() if m.record.shard == node}
-    return [worker for name, worker in w.workers.items() if name in shards]
+    shards = {m.name for m in world.owners[node].machines.values() if m.record.shard == node}
+    return [worker for name, worker in world.workers.items() if name in shards]
 
 
-def settle(w: World, seconds: float = 3 * LEASE_S) -> None:
+def settle(world: World, seconds: float = 3 * LEASE_S) -> None:
     """End all faults; check that wanted jobs run, cancelled ones don't, and shards are active."""
-    w.cut_links.clear()
-    w.receive_blocked_machines.clear()
-    w.state.refused_nodes.clear()
-    w.state.answer_delay_s = 0.0
-    w.state.transaction_fault = None
-    w.state.set_outage(False)
-    for worker in w.workers.values():
+    world.cut_links.clear()
+    world.receive_blocked_machines.clear()
+    world.state.refused_nodes.clear()
+    world.state.answer_delay_s = 0.0
+    world.state.transaction_fault = None
+    world.state.set_outage(False)
+    for worker in world.workers.values():
         worker.isolated = worker.direct_commands_blocked = False
-    for n in range(w.node_count):
-        if f"n{n}" not in w.owners:
-            w.start_node(n)
-    w.faults_over_at = w.now
-    w.run(seconds)
-    w.run_until(lambda: w.running_task_count(LONG) == w.specs[LONG]["hands"], 4 * LEASE_S)
-    if w.reported_states[DOOMED] == "aborted":
-        assert w.running_task_count(DOOMED) == 0
-    acting = [s for o in w.owners.values() for s in o.shards.active_shards(w.now)]
-    assert sorted(acting) == sorted(w.owners)
+    for n in range(world.node_count):
+        if f"n{n}" not in world.owners:
+            world.start_node(n)
+    world.faults_over_at = world.now
+    world.run(seconds)
+    world.run_until(
+        lambda: world.running_task_count(LONG) == world.specs[LONG]["hands"], 4 * LEASE_S
+    )
+    if world.reported_states[DOOMED] == "aborted":
+        assert world.running_task_count(DOOMED) == 0
+    acting = [s for o in world.owners.values() for s in o.shards.active_shards(world.now)]
+    assert sorted(acting) == sorted(world.owners)
 
 
 # -- controllers that reach only workers and users --
@@ -81,17 +85,17 @@
 def test_cancellation_through_a_peer_while_the_leader_reaches_only_workers_and_users(
     cancel_at: float, refusing: bool, nodes: int, copies: str
 ) -> None:
-    w = world(COPIES[copies], nodes)
-    lead = node_with_most_tasks(w, DOOMED)
-    w.isolate_node(lead, refusing)
-    w.run(cancel_at)
-    cancel_until_confirmed(w, others(w, lead)[0])
+    world = world_with_two_services(COPIES[copies], nodes)
+    lead = node_with_most_tasks(world, DOOMED)
+    world.isolate_node(lead, refusing)
+    world.run(cancel_at)
+    cancel_until_confirmed(world, other_nodes(world, lead)[0])
     for _ in range(int(1.2 * CANCEL_S / 4)):
-        w.run(4)
+        world.run(4)
         # Its answer is no older than what the other node reported, or it gives none.
-        assert job_state(w, lead, DOOMED) in ("503", "aborted")
-    assert w.running_task_count(DOOMED) == 0 and w.running_task_count(LONG) == 2 * nodes
-    settle(w)
+        assert job_state(world, lead, DOOMED) in ("503", "aborted")
+    assert world.running_task_count(DOOMED) == 0 and world.running_task_count(LONG) == 2 * nodes
+    settle(world)
 
 
 @pytest.mark.parametrize("alone", [["n0"], ["n0", "n1"]])
@@ -101,24 +105,24 @@
     refusing: bool, seconds: float, alone: list[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     use_deployment_timing(monkeypatch, "annex")
-    w = world([])
-    starts = len(w.task_starts)
+    world = world_with_two_services([])
+    starts = len(world.task_starts)
     for name in alone:
-        w.isolate_node(name, refusing)
-    w.run(seconds)
-    settle(w)
+        world.isolate_node(name, refusing)
+    world.run(seconds)
+    settle(world)
     assert (
-        w.running_task_count(LONG) == w.running_task_count(DOOMED) == 6
-        and len(w.task_starts) == starts
+        world.running_task_count(LONG) == world.running_task_count(DOOMED) == 6
+        and len(world.task_starts) == starts
     )
-    assert all(worker.session == 1 for worker in w.workers.values())
+    assert all(worker.session == 1 for worker in world.workers.values())
 
 
-def cancel_until_confirmed(w: World, node: str, name: str = DOOMED) -> None:
-    begun = w.now
-    while w.user_request(node, "POST", f"/api/jobs/{name}/cancel")[0] != 200:
-        assert w.now - begun < 75
-        w.run(0.5)
+def cancel_until_confirmed(world: World, node: str, name: str = DOOMED) -> None:
+    begun = world.now
+    while world.user_request(node, "POST", f"/api/jobs/{name}/cancel")[0] != 200:
+        assert world.now - begun < 75
+        world.run(0.5)
 
 
 # -- a slow state service --
@@ -130,71 +134,71 @@
 def test_cancellation_while_the_state_service_is_slow_and_then_refuses(
     slow_s: float, then_down: bool, copies: str
 ) -> None:
-    w = world(COPIES[copies])
-    lead = node_with_most_tasks(w, DOOMED)
-    w.state.answer_delay_s = slow_s
-    for node in others(w, lead):
-        w.request_controller(
+    world = world_with_two_services(COPIES[copies])
+    lead = node_with_most_tasks(world, DOOMED)
+    world.state.answer_delay_s = slow_s
+    for node in other_nodes(world, lead):
+        world.request_controller(
             node, "POST", f"/api/jobs/{DOOMED}/cancel", b"", lambda status, body: None
         )
-    w.run(0.5)
-    for node in sorted(w.owners):
-        w.user_request(node, "GET", f"/api/jobs/{DOOMED}")
-    w.state.refused_nodes.add(lead)
-    for node in others(w, lead):
-        w.user_request(node, "POST", f"/api/jobs/{DOOMED}/cancel")
+    world.run(0.5)
+    for node in sorted(world.owners):
+        world.user_request(node, "GET", f"/api/jobs/{DOOMED}")
+    world.state.refused_nodes.add(lead)
+    for node in other_nodes(world, lead):
+        world.user_request(node, "POST", f"/api/jobs/{DOOMED}/cancel")
     if then_down:
-        w.state.set_outage(True)
-    w.run(1.3 * CANCEL_S)
-    settle(w)
-    cancel_until_confirmed(w, lead)
+        world.state.set_outage(True)
+    world.run(1.3 * CANCEL_S)
+    settle(world)
+    cancel_until_confirmed(world, lead)
 
 
 @pytest.mark.parametrize("slow_s", [0.2, 1.0, 2.0])
 def test_leases_and_reads_are_dated_from_their_request(slow_s: float) -> None:
     # A lease counts from when its renewal was sent, since the answer may have taken all this time.
-    w = world([])
-    w.state.answer_delay_s = slow_s
+    world = world_with_two_services([])
+    world.state.answer_delay_s = slow_s
     for _ in range(100):
-        w.state.commit({"if": [], "then": [{"put": "s/note", "v": {}}]})
-        changed, sent_at = w.state.ledger, w.now
-        w.run(0.2)
-        for owner in w.owners.values():
+        world.state.commit({"if": [], "then": [{"put": "s/note", "v": {}}]})
+        changed, sent_at = world.state.ledger, world.now
+        world.run(0.2)
+        for owner in world.owners.values():
             # A read counts from when it was sent, too: it contains every earlier change.
             assert owner.sync.synced_at <= sent_at or owner.mirror.applied >= changed
             lease = owner.leadership.lease_id
-            if lease is not None and w.now < owner.leadership.lease_until:
-                assert owner.leadership.lease_until <= w.state.leases[lease][0]
+            if lease is not None and world.now < owner.leadership.lease_until:
+                assert owner.leadership.lease_until <= world.state.leases[lease][0]
 
 
 # -- delayed direct commands --
 
 
-def cancel_job(w: World, lead: str) -> None:
-    cancel_until_confirmed(w, others(w, lead)[0])
+def cancel_job(world: World, lead: str) -> None:
+    cancel_until_confirmed(world, other_nodes(world, lead)[0])
 
 
-def restart_holder(w: World, lead: str) -> None:
-    w.kill_node(lead)
-    w.run(0.3)
-    w.start_node(int(lead[1:]))
+def restart_holder(world: World, lead: str) -> None:
+    world.kill_node(lead)
+    world.run(0.3)
+    world.start_node(int(lead[1:]))
 
 
-def kill_holder(w: World, lead: str) -> None:
-    w.kill_node(lead)
+def kill_holder(world: World, lead: str) -> None:
+    world.kill_node(lead)
 
 
-def expire_worker_sessions(w: World, lead: str) -> None:
-    for worker in mine(w, lead):
+def expire_worker_sessions(world: World, lead: str) -> None:
+    for worker in workers_of_shard(world, lead):
         worker.isolated = True
-    w.run(1.2 * LEASE_S)
-    for worker in mine(w, lead):
+    world.run(1.2 * LEASE_S)
+    for worker in workers_of_shard(world, lead):
         worker.isolated = False
 
 
-def cancel_and_stop_state_service(w: World, lead: str) -> None:
-    cancel_job(w, lead)
-    w.state.set_outage(True)
+def cancel_and_stop_state_service(world: World, lead: str) -> None:
+    cancel_job(world, lead)
+    world.state.set_outage(True)
 
 
 @pytest.mark.parametrize("copies", COPIES)
@@ -212,22 +216,22 @@
 def test_direct_commands_are_delayed_while_reports_continue(
     event: Callable[[World, str], None], held_s: float, copies: str
 ) -> None:
-    w = world(COPIES[copies])
-    lead = node_with_most_tasks(w, DOOMED)
-    blocked_workers = mine(w, lead)
+    world = world_with_two_services(COPIES[copies])
+    lead = node_with_most_tasks(world, DOOMED)
+    blocked_workers = workers_of_shard(world, lead)
     for worker in blocked_workers:
         worker.direct_commands_blocked = True
     # Delayed: launches of new tasks, halts of cancelled ones, reaps of finished ones.
-    w.submit(lead, job_submission(3, hands=3, vcpus=0.5, memoryGb=1.0))
-    w.run(0.5)
-    event(w, lead)
-    w.run(held_s)
+    world.submit(lead, job_submission(3, hands=3, vcpus=0.5, memoryGb=1.0))
+    world.run(0.5)
+    event(world, lead)
+    world.run(held_s)
     for worker in blocked_workers:
         worker.reconnect()
-    w.run(3)
-    settle(w)
-    w.run_until(lambda: job_state(w, "n0", "run-000003") == "done", 75)
-    assert len({t for _, t, _ in w.task_starts if t.startswith("run-000003")}) == 3
+    world.run(3)
+    settle(world)
+    world.run_until(lambda: job_state(world, "n0", "run-000003") == "done", 75)
+    assert len({t for _, t, _ in world.task_starts if t.startswith("run-000003")}) == 3
 
 
 # -- all controllers end, some return --
@@ -240,28 +244,28 @@
 def test_all_controllers_end_one_returns_and_shards_are_handed_back(
     lead_back: bool, back_s: float, apart_s: float, copies: str
 ) -> None:
-    w = world(COPIES[copies])
-    w.dead_nodes_refuse = True
-    lead = node_with_most_tasks(w, DOOMED)
-    order = [lead, *others(w, lead)]
+    world = world_with_two_services(COPIES[copies])
+    world.dead_nodes_refuse = True
+    lead = node_with_most_tasks(world, DOOMED)
+    order = [lead, *other_nodes(world, lead)]
     for node in order:
-        w.kill_node(node)
-        w.run(apart_s)
+        world.kill_node(node)
+        world.run(apart_s)
     first = order[0] if lead_back else order[-1]
-    w.run(back_s)
-    w.start_node(int(first[1:]))
-    w.run(4.0)
-    retry_until_accepted(w, "POST", f"/api/jobs/{DOOMED}/cancel")
-    w.run(4.0)
+    world.run(back_s)
+    world.start_node(int(first[1:]))
+    world.run(4.0)
+    retry_until_accepted(world, "POST", f"/api/jobs/{DOOMED}/cancel")
+    world.run(4.0)
     for node in order:
-        if node not in w.owners:
-            w.start_node(int(node[1:]))
-            w.run(back_s)
+        if node not in world.owners:
+            world.start_node(int(node[1:]))
+            world.run(back_s)
     # The first one ends again in the middle of handing shards back.
-    w.run(1.0)
-    w.kill_node(first)
-    w.run(back_s)
-    settle(w)
+    world.run(1.0)
+    world.kill_node(first)
+    world.run(back_s)
+    settle(world)
 
 
 # -- a leader ends while its machines are unreachable --
@@ -273,43 +277,45 @@
 def test_leader_ends_while_its_machines_are_unreachable(
     seconds: float, how: str, copies: str
 ) -> None:
-    w = world(COPIES[copies])
-    lead = node_with_most_tasks(w, DOOMED)
-    unreachable_workers = mine(w, lead)[:2]
+    world = world_with_two_services(COPIES[copies])
+    lead = node_with_most_tasks(world, DOOMED)
+    unreachable_workers = workers_of_shard(world, lead)[:2]
     for worker in unreachable_workers:
         if how == "deaf":
-            w.receive_blocked_machines.add(worker.name)
+            world.receive_blocked_machines.add(worker.name)
         else:
             worker.isolated, worker.direct_commands_blocked = how == "cut", True
-    w.run(1.0)
-    w.kill_node(lead)
-    w.run(seconds)
+    world.run(1.0)
+    world.kill_node(lead)
+    world.run(seconds)
     # There is room elsewhere for tasks that provably ended; none starts twice (World.started).
-    w.cloud.capacity["small"] = 12
+    world.cloud.capacity["small"] = 12
     for worker in unreachable_workers:
         worker.reconnect()
-    w.receive_blocked_machines.clear()
-    w.run(2 * REPORT_S)
-    settle(w)
+    world.receive_blocked_machines.clear()
+    world.run(2 * REPORT_S)
+    settle(world)
 
 
 # -- jobs of two or three tasks --
 
 
-def kill_leader(w: World, lead: str) -> None:
-    w.kill_node(lead)
+def kill_leader(world: World, lead: str) -> None:
+    world.kill_node(lead)
 
 
-def stall_leader(w: World, lead: str) -> None:
-    w.paused_until[lead] = w.now + 9.0
+def stall_leader(world: World, lead: str) -> None:
+    world.paused_until[lead] = world.now + 9.0
 
 
-def refuse_leader(w: World, lead: str) -> None:
-    w.state.refused_nodes.add(lead)
+def refuse_leader(world: World, lead: str) -> None:
+    world.state.refused_nodes.add(lead)
 
 
-def delay_writes(w: World, lead: str) -> None:
-    w.state.transaction_fault = lambda node, body: "late" if w.random.random() < 0.6 else None
+def delay_writes(world: World, lead: str) -> None:
+    world.state.transaction_fault = lambda node, body: (
+        "late" if world.random.random() < 0.6 else None
+    )
 
 
 @pytest.mark.parametrize("copies", COPIES)
@@ -319,27 +325,27 @@
 def test_tasks_of_a_small_job_end_before_and_after_a_change_of_leader(
     hands: int, change_at_s: float, change: Callable[[World, str], None], copies: str
 ) -> None:
-    w = world(COPIES[copies])
-    for n, worker in enumerate(w.workers.values()):
+    world = world_with_two_services(COPIES[copies])
+    for n, worker in enumerate(world.workers.values()):
         worker.task_run_s = 2.0 + 4.0 * (n % 3)
     spec: dict[str, Any] = {"hands": hands, "vcpus": 0.5, "memoryGb": 1.0}
-    w.submit("n0", job_submission(3, **spec))
-    w.run_until(lambda: w.running_task_count("run-000003") == hands, 30)
-    lead = node_with_most_tasks(w, "run-000003")
-    w.run(change_at_s)
-    change(w, lead)
-    w.run_until(lambda: len(w.completed_tasks) == hands, 60)
+    world.submit("n0", job_submission(3, **spec))
+    world.run_until(lambda: world.running_task_count("run-000003") == hands, 30)
+    lead = node_with_most_tasks(world, "run-000003")
+    world.run(change_at_s)
+    change(world, lead)
+    world.run_until(lambda: len(world.completed_tasks) == hands, 60)
     # No task whose machine survived was started again.
-    tasks = [t for _, t, _ in w.task_starts if t.startswith("run-000003")]
+    tasks = [t for _, t, _ in world.task_starts if t.startswith("run-000003")]
     assert len(tasks) == len(set(tasks)) == hands
     # Reported by a node that reaches the state service: at once if writes succeed, or soon after a
     # takeover.
-    w.run_until(
-        lambda: any(job_state(w, n, "run-000003") == "done" for n in sorted(w.owners)),
+    world.run_until(
+        lambda: any(job_state(world, n, "run-000003") == "done" for n in sorted(world.owners)),
         75,
     )
-    settle(w)
-    for node in w.owners:
-        assert job_state(w, node, "run-000003") == "done"
-    tasks = [t for _, t, _ in w.task_starts if t.startswith("run-000003")]
+    settle(world)
+    for node in world.owners:
+        assert job_state(world, node, "run-000003") == "done"
+    tasks = [t for _, t, _ in world.task_starts if t.startswith("run-000003")]
     assert len(tasks) == hands
--- a/tests/test_old_reports.py
+++ b/tests/test_old_reports.py
@@ -11,7 +11,14 @@
 
 from sagecove.lab.deployment import LEASE_S, REPORT_S, job_submission
 from sagecove.lab.world import World
-from tests.test_meetings import DOOMED, LONG, mine, others, settle, world
+from tests.test_meetings import (
+    DOOMED,
+    LONG,
+    workers_of_shard,
+    other_nodes,
+    settle,
+    world_with_two_services,
+)
 from tests.test_refused_leader import node_with_most_tasks
 
 
@@ -48,14 +55,14 @@
 def test_old_reports_arrive_as_new_leader_begins(
     after: float, change: Any, which: str, nodes: int
 ) -> None:
-    cluster = world([], nodes)
+    cluster = world_with_two_services([], nodes)
     leader = node_with_most_tasks(cluster, DOOMED)
-    for worker in mine(cluster, leader):
+    for worker in workers_of_shard(cluster, leader):
         cluster.recorded_reports[worker.name] = []
     cluster.run(4 * REPORT_S)
     # Two of its machines lose power and all their tasks.
-    dead = [worker for worker in mine(cluster, leader) if worker.tasks][:2]
-    cluster.user_request(others(cluster, leader)[0], "POST", f"/api/jobs/{DOOMED}/cancel")
+    dead = [worker for worker in workers_of_shard(cluster, leader) if worker.tasks][:2]
+    cluster.user_request(other_nodes(cluster, leader)[0], "POST", f"/api/jobs/{DOOMED}/cancel")
     cluster.run(0.5)
     for worker in dead:
         worker.dead, worker.tasks = True, {}
@@ -108,9 +115,9 @@
 @pytest.mark.parametrize("nodes", [3, 5])
 def test_delayed_report_arrives_after_new_leader_has_acted(nodes: int, hold_s: float) -> None:
     # Reports from before the takeover arrive after tasks were stopped and others started.
-    cluster = world([], nodes)
+    cluster = world_with_two_services([], nodes)
     leader = node_with_most_tasks(cluster, LONG)
-    for worker in mine(cluster, leader):
+    for worker in workers_of_shard(cluster, leader):
         cluster.recorded_reports[worker.name] = []
     cluster.run(3 * REPORT_S)
     old_reports = [reports[-1] for reports in cluster.recorded_reports.values() if reports]
@@ -136,9 +143,9 @@
 def test_old_reports_do_not_keep_dead_machine() -> None:
     # Copies keep arriving at every controller; the machine is returned, and its tasks start
     # elsewhere.
-    cluster = world([])
+    cluster = world_with_two_services([])
     leader = node_with_most_tasks(cluster, LONG)
-    victim = next(worker for worker in mine(cluster, leader) if worker.tasks)
+    victim = next(worker for worker in workers_of_shard(cluster, leader) if worker.tasks)
     cluster.recorded_reports[victim.name] = []
     cluster.run(3 * REPORT_S)
     report = cluster.recorded_reports.pop(victim.name)[-1]
@@ -158,7 +165,7 @@
 
 def test_old_reports_do_not_bring_back_deleted_machine() -> None:
     # A restarted controller doesn't remember that the machine was deleted, and asks it.
-    cluster = world([])
+    cluster = world_with_two_services([])
     victim = next(worker for worker in cluster.workers.values() if worker.tasks)
     cluster.recorded_reports[victim.name] = []
     cluster.run(3 * REPORT_S)
--- a/tests/test_trouble_machine.py
+++ b/tests/test_trouble_machine.py
@@ -94,12 +94,12 @@
     @rule(number=st.integers(0, 8))
     def commands_are_blocked(self, number: int) -> None:
         if (worker := self.worker(number)) is not None:
-            worker.cut_direct = True
+            worker.direct_commands_blocked = True
 
     @rule(number=st.integers(0, 8))
     def a_machine_is_isolated(self, number: int) -> None:
         if (worker := self.worker(number)) is not None:
-            worker.cut = True
+            worker.isolated = True
 
     @rule(slow_s=st.sampled_from([0.0, 0.5, 2.0]))
     def the_state_service_is_slow(self, slow_s: float) -> None:
