--- a/tests/test_at_limits.py
+++ b/tests/test_at_limits.py
@@ -12,7 +12,7 @@
 from sagecove.lab.deployment import LEASE_S, REPORT_S, job_submission
 from sagecove.lab.fakes import FakeWorker
 from sagecove.lab.world import World
-from tests.test_meetings import workers_of_shard, other_nodes
+from tests.test_meetings import other_nodes, workers_of_shard
 from tests.test_refused_leader import node_with_most_tasks
 
 TEAMS: list[dict[str, Any]] = [
--- a/tests/test_further_meetings.py
+++ b/tests/test_further_meetings.py
@@ -12,9 +12,9 @@
 from tests.test_close_looks import schedule_requests
 from tests.test_meetings import (
     DOOMED,
-    workers_of_shard,
     other_nodes,
     settle,
+    workers_of_shard,
     world_with_two_services,
 )
 from tests.test_old_reports import wait_for_takeover
--- a/tests/test_old_reports.py
+++ b/tests/test_old_reports.py
@@ -14,9 +14,9 @@
 from tests.test_meetings import (
     DOOMED,
     LONG,
-    workers_of_shard,
     other_nodes,
     settle,
+    workers_of_shard,
     world_with_two_services,
 )
 from tests.test_refused_leader import node_with_most_tasks
