--- a/tests/test_images.py
+++ b/tests/test_images.py
@@ -119,7 +119,7 @@
 def test_image_being_fetched_does_not_count_as_cached() -> None:
     world = world_with_gpu_machines()
     original_describe = world.fetch_description
-    world.fetch_description = lambda job_id, done: None  # type: ignore[method-assign]
+    world.fetch_description = lambda job_id, callback: None  # type: ignore[method-assign]
     world.submit("n0", job_submission(1, **GANG_FIELDS, hands=1))
     world.run(3)
     busy = [m for o in world.owners.values() for m in o.machines.values() if m.tasks]
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -115,7 +115,7 @@
     world.run(3)
     real = world.cloud.start_machine
 
-    def start_without_boot_delay(sku: str, zone: str, spot: bool, boot: float = 0.0) -> str:
+    def start_without_boot_delay(sku: str, zone: str, spot: bool, boot_s: float = 0.0) -> str:
         return real(sku, zone, spot, 0.0)
 
     world.cloud.start_machine = start_without_boot_delay  # type: ignore[method-assign]
