--- a/sagecove/sweeps/parameter_space.py
+++ b/sagecove/sweeps/parameter_space.py
@@ -1,8 +1,8 @@
-"""A space of points, expanded by index: point k is computed from k, nothing is ever listed.
+"""Defines parameter spaces and computes any of their points from its index, without listing them.
 
 A space is a product of axes (the first varies slowest), some of them zipped, each point repeated,
 or a sample of points drawn without replacement. A filter leaves points out without renumbering the
-rest, so that all controllers agree on what point k is without knowing the others.
+rest, so that all controllers agree on what point k is without computing the others.
 """
 
 from __future__ import annotations
@@ -17,37 +17,37 @@
 
 Value = bool | int | float | str
 
-# Names that every point has beside its axes.
+# Parameters that every point has in addition to its axes.
 INDEX_PARAMETER, REPETITION_PARAMETER = "index", "repetition"
 
 
 class SpaceError(ValueError):
-    """A space that makes no sense: which part, and why."""
+    """A space is invalid; the message names the part and the reason."""
 
 
 class ValueList(msgspec.Struct, tag="list", frozen=True):
-    """The values as they are written."""
+    """An explicit list of values."""
 
     values: list[Value]
 
     def count(self) -> int:
-        """How many values."""
+        """Return the number of values."""
         return len(self.values)
 
-    def value_at(self, k: int) -> Value:
-        """Value number k."""
-        return self.values[k]
+    def value_at(self, index: int) -> Value:
+        """Return the value at an index."""
+        return self.values[index]
 
 
 class Range(msgspec.Struct, tag="range", frozen=True):
-    """From `first` to `last`, both included where a step meets it."""
+    """Values from `first` in steps of `step`; `last` is included if a step meets it."""
 
     first: int | float
     last: int | float
     step: int | float = 1
 
     def count(self) -> int:
-        """How many values."""
+        """Return the number of values."""
         if self.step == 0:
             raise SpaceError("a range's step must not be 0")
         if all(isinstance(v, int) for v in (self.first, self.last, self.step)):
@@ -55,15 +55,15 @@
         first, last, step = (Decimal(str(v)) for v in (self.first, self.last, self.step))
         return max(0, int((last - first) / step) + 1) if (last - first) / step >= 0 else 0
 
-    def value_at(self, k: int) -> Value:
-        """Value number k, without the error that adding up would gather."""
+    def value_at(self, index: int) -> Value:
+        """Return the value at an index, without the rounding errors that repeated adding causes."""
         if isinstance(self.first, int) and isinstance(self.step, int):
-            return self.first + k * self.step
-        return float(Decimal(str(self.first)) + k * Decimal(str(self.step)))
+            return self.first + index * self.step
+        return float(Decimal(str(self.first)) + index * Decimal(str(self.step)))
 
 
-class Spread(msgspec.Struct, tag="spread", frozen=True):
-    """`count` values from `first` to `last`, evenly spread; on a logarithmic scale if `log`."""
+class EvenSpacing(msgspec.Struct, tag="spread", frozen=True):
+    """`number` values spaced evenly from `first` to `last`; on a logarithmic scale if `log`."""
 
     first: int | float
     last: int | float
@@ -71,105 +71,105 @@
     log: bool = False
 
     def count(self) -> int:
-        """How many values."""
+        """Return the number of values."""
         if self.number < 1:
             raise SpaceError("a spread needs at least one value")
         if self.log and (self.first <= 0 or self.last <= 0):
             raise SpaceError("a logarithmic range runs between numbers above 0")
         return self.number
 
-    def value_at(self, k: int) -> Value:
-        """Value number k, to 12 digits; the ends are as they were written."""
-        if k == 0:
+    def value_at(self, index: int) -> Value:
+        """Return the value at an index, to 12 digits; both ends are returned as written."""
+        if index == 0:
             return self.first
-        if k == self.number - 1:
+        if index == self.number - 1:
             return self.last
-        part = k / (self.number - 1)
+        fraction = index / (self.number - 1)
         if self.log:
-            value = math.exp((1 - part) * math.log(self.first) + part * math.log(self.last))
+            value = math.exp((1 - fraction) * math.log(self.first) + fraction * math.log(self.last))
         else:
-            value = self.first + part * (self.last - self.first)
+            value = self.first + fraction * (self.last - self.first)
         return float(f"{value:.12g}")
 
 
-Source = ValueList | Range | Spread
+Source = ValueList | Range | EvenSpacing
 
 
 class Axis(msgspec.Struct, tag="axis", frozen=True):
-    """A parameter that runs over values."""
+    """A parameter and the values it takes."""
 
     name: str
     source: Source
 
     def names(self) -> list[str]:
-        """Parameters bound."""
+        """Return the names of the parameters bound."""
         return [self.name]
 
     def count(self) -> int:
-        """How many points."""
+        """Return the number of points."""
         return self.source.count()
 
-    def fill(self, k: int, out: dict[str, Value]) -> None:
-        """Bind what point k has."""
-        out[self.name] = self.source.value_at(k)
+    def bind_values(self, index: int, bindings: dict[str, Value]) -> None:
+        """Add the parameter values of the point at an index to `bindings`."""
+        bindings[self.name] = self.source.value_at(index)
 
 
 class Zip(msgspec.Struct, tag="zip", frozen=True):
-    """Parts of one length that run together."""
+    """Parts of equal length that advance together."""
 
     parts: list[Node]
 
     def names(self) -> list[str]:
-        """Parameters bound."""
+        """Return the names of the parameters bound."""
         return [name for part in self.parts for name in part.names()]
 
     def count(self) -> int:
-        """How many points."""
+        """Return the number of points."""
         counts = [part.count() for part in self.parts]
         if len(set(counts)) > 1:
-            told = ", ".join(
+            lengths = ", ".join(
                 f"{'*'.join(part.names())} has {count}"
                 for part, count in zip(self.parts, counts, strict=True)
             )
-            raise SpaceError(f"parts joined by & must be of one length: {told}")
+            raise SpaceError(f"parts joined by & must be of one length: {lengths}")
         return counts[0]
 
-    def fill(self, k: int, out: dict[str, Value]) -> None:
-        """Bind what point k has."""
+    def bind_values(self, index: int, bindings: dict[str, Value]) -> None:
+        """Add the parameter values of the point at an index to `bindings`."""
         for part in self.parts:
-            part.fill(k, out)
+            part.bind_values(index, bindings)
 
 
 class Product(msgspec.Struct, tag="product", frozen=True):
-    """Every combination of the parts; the first varies slowest."""
+    """All combinations of the parts; the first varies slowest."""
 
     parts: list[Node]
 
     def names(self) -> list[str]:
-        """Parameters bound."""
+        """Return the names of the parameters bound."""
         return [name for part in self.parts for name in part.names()]
 
     def count(self) -> int:
-        """How many points."""
+        """Return the number of points."""
         return math.prod(part.count() for part in self.parts)
 
-    def fill(self, k: int, out: dict[str, Value]) -> None:
-        """Bind what point k has."""
+    def bind_values(self, index: int, bindings: dict[str, Value]) -> None:
+        """Add the parameter values of the point at an index to `bindings`."""
         for part in reversed(self.parts):
-            k, rest = divmod(k, part.count())
-            part.fill(rest, out)
+            index, part_index = divmod(index, part.count())
+            part.bind_values(part_index, bindings)
 
 
 Node = Axis | Zip | Product
 
 
-class Const(msgspec.Struct, tag="const", frozen=True):
+class Constant(msgspec.Struct, tag="const", frozen=True):
     """A number or text in a filter."""
 
     value: Value
 
 
-class Name(msgspec.Struct, tag="name", frozen=True):
+class ParameterReference(msgspec.Struct, tag="name", frozen=True):
     """A parameter's value in a filter."""
 
     name: str
@@ -183,10 +183,10 @@
     right: Operand
 
 
-Operand = Const | Name | Arithmetic
+Operand = Constant | ParameterReference | Arithmetic
 
 
-class Compare(msgspec.Struct, tag="compare", frozen=True):
+class Comparison(msgspec.Struct, tag="compare", frozen=True):
     """A comparison of two operands."""
 
     op: str
@@ -194,37 +194,40 @@
     right: Operand
 
 
-class Member(msgspec.Struct, tag="member", frozen=True):
-    """An operand is among values."""
+class Membership(msgspec.Struct, tag="member", frozen=True):
+    """Tests whether an operand is one of a list of values."""
 
     left: Operand
     values: list[Value]
 
 
-class Every(msgspec.Struct, tag="and", frozen=True):
+class AllOf(msgspec.Struct, tag="and", frozen=True):
     """All conditions hold."""
 
     parts: list[Condition]
 
 
-class Some(msgspec.Struct, tag="or", frozen=True):
+class AnyOf(msgspec.Struct, tag="or", frozen=True):
     """At least one condition holds."""
 
     parts: list[Condition]
 
 
-class Not(msgspec.Struct, tag="not", frozen=True):
+class Negation(msgspec.Struct, tag="not", frozen=True):
     """The condition does not hold."""
 
     part: Condition
 
 
-Condition = Compare | Member | Every | Some | Not
+Condition = Comparison | Membership | AllOf | AnyOf | Negation
 
 
 class Space(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A whole space. `sample`: so many points drawn from the product (before repeats and filter),
-    the same ones for the same seed."""
+    """A whole parameter space.
+
+    `sample` is the number of points drawn from the product, before repeats and filter; the same
+    seed draws the same points.
+    """
 
     node: Node
     where: Condition | None = None
@@ -233,31 +236,31 @@
     seed: int = 0
 
     def count(self) -> int:
-        """How many points, those that the filter leaves out included."""
-        raw = self.node.count()
+        """Return the number of points, including those that the filter leaves out."""
+        unsampled_count = self.node.count()
         if self.sample is not None:
-            raw = min(raw, self.sample)
-        return raw * self.repeat
+            unsampled_count = min(unsampled_count, self.sample)
+        return unsampled_count * self.repeat
 
     def names(self) -> list[str]:
-        """Parameters bound, in the order they were written."""
+        """Return the names of the parameters bound, in the order of the text."""
         return self.node.names()
 
-    def point_values(self, k: int) -> dict[str, Value] | None:
-        """What point k binds; None if the filter leaves it out."""
-        k, repetition = divmod(k, self.repeat)
-        out: dict[str, Value] = {}
-        if self.sample is not None and self.sample < (raw := self.node.count()):
-            k = permuted(k, raw, self.seed)
-        self.node.fill(k, out)
-        out[REPETITION_PARAMETER] = repetition
-        if self.where is not None and not holds(self.where, out):
+    def point_values(self, index: int) -> dict[str, Value] | None:
+        """Return the parameter values of a point by its index; None if filtered out."""
+        index, repetition = divmod(index, self.repeat)
+        bindings: dict[str, Value] = {}
+        if self.sample is not None and self.sample < (unsampled_count := self.node.count()):
+            index = permuted_index(index, unsampled_count, self.seed)
+        self.node.bind_values(index, bindings)
+        bindings[REPETITION_PARAMETER] = repetition
+        if self.where is not None and not satisfies(self.where, bindings):
             return None
-        return out
+        return bindings
 
 
 def check_space(space: Space, max_points: int) -> None:
-    """Raise `SpaceError` if the space makes no sense or has no, or over `most`, points."""
+    """Raise `SpaceError` if the space is invalid, is empty or has over `max_points` points."""
     names = space.names()
     for name in names:
         if names.count(name) > 1:
@@ -268,9 +271,9 @@
         raise SpaceError("repeat must be at least 1")
     if space.sample is not None and space.sample < 1:
         raise SpaceError("sample must be at least 1")
-    known = {*names, REPETITION_PARAMETER}
-    for name in _used(space.where) if space.where is not None else ():
-        if name not in known:
+    bound_names = {*names, REPETITION_PARAMETER}
+    for name in _referenced_names(space.where) if space.where is not None else ():
+        if name not in bound_names:
             raise SpaceError(f"the filter names {name}, which is not bound")
     count = space.count()
     if count == 0:
@@ -279,38 +282,41 @@
         raise SpaceError(f"the space has {count} points; {max_points} are allowed")
 
 
-def _used(part: Condition | Operand) -> Iterator[str]:
-    if isinstance(part, Name):
+def _referenced_names(part: Condition | Operand) -> Iterator[str]:
+    if isinstance(part, ParameterReference):
         yield part.name
-    elif isinstance(part, Arithmetic | Compare):
-        yield from _used(part.left)
-        yield from _used(part.right)
-    elif isinstance(part, Member):
-        yield from _used(part.left)
-    elif isinstance(part, Every | Some):
+    elif isinstance(part, Arithmetic | Comparison):
+        yield from _referenced_names(part.left)
+        yield from _referenced_names(part.right)
+    elif isinstance(part, Membership):
+        yield from _referenced_names(part.left)
+    elif isinstance(part, AllOf | AnyOf):
         for inner in part.parts:
-            yield from _used(inner)
-    elif isinstance(part, Not):
-        yield from _used(part.part)
-
-
-def holds(condition: Condition, point: dict[str, Value]) -> bool:
-    """Whether a point satisfies a condition. What cannot be compared is not equal, not less and
-    not more; what cannot be computed satisfies nothing."""
-    if isinstance(condition, Every):
-        return all(holds(part, point) for part in condition.parts)
-    if isinstance(condition, Some):
-        return any(holds(part, point) for part in condition.parts)
-    if isinstance(condition, Not):
-        return not holds(condition.part, point)
-    left = _value(condition.left, point)
-    if isinstance(condition, Member):
-        return left is not None and any(_same(left, value) for value in condition.values)
-    right = _value(condition.right, point)
+            yield from _referenced_names(inner)
+    elif isinstance(part, Negation):
+        yield from _referenced_names(part.part)
+
+
+def satisfies(condition: Condition, point: dict[str, Value]) -> bool:
+    """Return whether a point satisfies a condition.
+
+    Values that can't be compared are neither equal, less nor greater; a comparison with an operand
+    that can't be computed is false.
+    """
+    if isinstance(condition, AllOf):
+        return all(satisfies(part, point) for part in condition.parts)
+    if isinstance(condition, AnyOf):
+        return any(satisfies(part, point) for part in condition.parts)
+    if isinstance(condition, Negation):
+        return not satisfies(condition.part, point)
+    left = _evaluate(condition.left, point)
+    if isinstance(condition, Membership):
+        return left is not None and any(_equal(left, value) for value in condition.values)
+    right = _evaluate(condition.right, point)
     if left is None or right is None:
         return False
     if condition.op in ("==", "!="):
-        return _same(left, right) == (condition.op == "==")
+        return _equal(left, right) == (condition.op == "==")
     if isinstance(left, str) != isinstance(right, str):
         return False
     a: Any = left
@@ -318,17 +324,17 @@
     return bool({"<": a < b, "<=": a <= b, ">": a > b, ">=": a >= b}[condition.op])
 
 
-def _same(left: Value, right: Value) -> bool:
-    # True is no 1 here.
+def _equal(left: Value, right: Value) -> bool:
+    # Python takes True for 1; here a flag never equals a number.
     return isinstance(left, bool) == isinstance(right, bool) and left == right
 
 
-def _value(operand: Operand, point: dict[str, Value]) -> Value | None:
-    if isinstance(operand, Const):
+def _evaluate(operand: Operand, point: dict[str, Value]) -> Value | None:
+    if isinstance(operand, Constant):
         return operand.value
-    if isinstance(operand, Name):
+    if isinstance(operand, ParameterReference):
         return point.get(operand.name)
-    left, right = _value(operand.left, point), _value(operand.right, point)
+    left, right = _evaluate(operand.left, point), _evaluate(operand.right, point)
     if not isinstance(left, int | float) or not isinstance(right, int | float):
         return None
     try:
@@ -343,17 +349,20 @@
         return None
 
 
-def permuted(k: int, size: int, seed: int) -> int:
-    """Number k of a fixed random order of `size` numbers: a Feistel network over the next even
-    power of two, walked until it falls into the range (fewer than four steps on average)."""
+def permuted_index(index: int, size: int, seed: int) -> int:
+    """Return the number at an index of a pseudorandom permutation of `size` numbers.
+
+    Applies a Feistel network over the next even power of two until the result is in the range,
+    fewer than four times on average.
+    """
     half = max(1, ((size - 1).bit_length() + 1) // 2)
     mask = (1 << half) - 1
     while True:
-        left, right = k >> half, k & mask
-        for turn in range(4):
-            text = b"%d %d %d" % (seed, turn, right)
-            mixed = int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "little")
-            left, right = right, left ^ (mixed & mask)
-        k = left << half | right
-        if k < size:
-            return k
+        left, right = index >> half, index & mask
+        for round_number in range(4):
+            text = b"%d %d %d" % (seed, round_number, right)
+            round_hash = int.from_bytes(hashlib.blake2b(text, digest_size=8).digest(), "little")
+            left, right = right, left ^ (round_hash & mask)
+        index = left << half | right
+        if index < size:
+            return index
--- a/sagecove/sweeps/template.py
+++ b/sagecove/sweeps/template.py
@@ -1,6 +1,6 @@
-"""A template's job description, filled with values.
+"""Checks job templates and renders jobs from them.
 
-Each difference between two jobs of one template is a listed value: nothing else can vary.
+Two jobs of one template version differ only in their ids and the values put in for references.
 """
 
 from __future__ import annotations
@@ -15,24 +15,24 @@
 from sagecove.sweeps.parameter_space import INDEX_PARAMETER, REPETITION_PARAMETER, Value
 from sagecove.sweeps.records import Parameter, Template
 
-REFERENCE = re.compile(r"\$\{([A-Za-z_][A-Za-z0-9_]*)\}")
+REFERENCE_PATTERN = re.compile(r"\$\{([A-Za-z_][A-Za-z0-9_]*)\}")
 
-KINDS = {
+KIND_DESCRIPTIONS = {
     "whole": "a whole number",
     "number": "a number",
     "text": "a text",
     "flag": "true or false",
 }
-# Wire names of a job's fields: what a template's `job` may hold.
-FIELDS = {field.encode_name for field in msgspec.structs.fields(Job)}
-ID = "nameId"
+# Wire names of a job's fields, which a template's `job` may hold.
+JOB_FIELDS = {field.encode_name for field in msgspec.structs.fields(Job)}
+ID_FIELD = "nameId"
 
 
 class TemplateError(ValueError):
-    """A template, or a value for it, that makes no sense."""
+    """A template, or a value for one of its parameters, is invalid."""
 
 
-def _is(kind: str, value: Any) -> bool:
+def _has_kind(kind: str, value: Any) -> bool:
     if kind == "flag":
         return isinstance(value, bool)
     if isinstance(value, bool):
@@ -42,22 +42,22 @@
     return isinstance(value, int) or (kind == "number" and isinstance(value, float))
 
 
-def allowed_text(parameter: Parameter) -> str:
-    """What a parameter may be, in words."""
+def describe_allowed_values(parameter: Parameter) -> str:
+    """Describe the values that a parameter allows."""
     unit = f" {parameter.unit}" if parameter.unit else ""
     if parameter.allowed is not None:
         return "one of " + ", ".join(msgspec.json.encode(v).decode() for v in parameter.allowed)
-    out = KINDS[parameter.kind]
+    description = KIND_DESCRIPTIONS[parameter.kind]
     if parameter.least is not None:
-        out += f" from {parameter.least}{unit}"
+        description += f" from {parameter.least}{unit}"
     if parameter.most is not None:
-        out += f" up to {parameter.most}{unit}"
-    return out
+        description += f" up to {parameter.most}{unit}"
+    return description
 
 
-def fits(parameter: Parameter, value: Any) -> bool:
-    """Whether a parameter may have a value."""
-    if not _is(parameter.kind, value):
+def accepts_value(parameter: Parameter, value: Any) -> bool:
+    """Return whether a parameter allows a value."""
+    if not _has_kind(parameter.kind, value):
         return False
     if parameter.allowed is not None and not any(
         value == v and isinstance(value, bool) == isinstance(v, bool) for v in parameter.allowed
@@ -71,16 +71,16 @@
     )
 
 
-def _references(value: Any) -> Iterator[str]:
+def _reference_names(value: Any) -> Iterator[str]:
     if isinstance(value, str):
-        yield from REFERENCE.findall(value)
+        yield from REFERENCE_PATTERN.findall(value)
     elif isinstance(value, list):
         for part in value:
-            yield from _references(part)
+            yield from _reference_names(part)
 
 
 class CompiledTemplate:
-    """A template made ready for filling many times."""
+    """A template prepared for rendering many jobs."""
 
     def __init__(self, template: Template) -> None:
         self.template = template
@@ -88,28 +88,28 @@
         if template.version:
             self.title += f" version {template.version}"
         self.parameters = {p.name: p for p in template.parameters}
-        # Fields whose whole value is one parameter's, and those that are to be worked out.
-        self.direct: list[tuple[str, str]] = []
-        self.woven: list[tuple[str, Any]] = []
-        self.fixed: dict[str, Any] = {}
+        # Fields that are a single reference, and fields with references inside their value.
+        self.direct_references: list[tuple[str, str]] = []
+        self.interpolated_fields: list[tuple[str, Any]] = []
+        self.constant_fields: dict[str, Any] = {}
         for field, value in template.job.items():
-            match = REFERENCE.fullmatch(value) if isinstance(value, str) else None
+            match = REFERENCE_PATTERN.fullmatch(value) if isinstance(value, str) else None
             if match:
-                self.direct.append((field, match[1]))
-            elif any(_references(value)):
-                self.woven.append((field, value))
+                self.direct_references.append((field, match[1]))
+            elif any(_reference_names(value)):
+                self.interpolated_fields.append((field, value))
             else:
-                self.fixed[field] = value
+                self.constant_fields[field] = value
         self.defaults = {p.name: p.default for p in template.parameters if p.default is not None}
         # Parameters that only some teams may set.
-        self.guarded = [p for p in template.parameters if p.set_by is not None]
+        self.team_restricted = [p for p in template.parameters if p.set_by is not None]
 
     def referenced_names(self) -> set[str]:
-        """Parameters that the job's fields name."""
-        return {name for value in self.template.job.values() for name in _references(value)}
+        """Return the names that the job's fields refer to."""
+        return {name for value in self.template.job.values() for name in _reference_names(value)}
 
     def check_template(self) -> None:
-        """Raise `TemplateError` if the template makes no sense by itself."""
+        """Raise `TemplateError` if the template is invalid, whatever the values."""
         names = [p.name for p in self.template.parameters]
         for name in names:
             if names.count(name) > 1:
@@ -117,19 +117,21 @@
             if name in (INDEX_PARAMETER, REPETITION_PARAMETER):
                 raise TemplateError(f"parameter {name}: every point has that already")
         for parameter in self.template.parameters:
-            if parameter.default is not None and not fits(parameter, parameter.default):
+            if parameter.default is not None and not accepts_value(parameter, parameter.default):
                 raise TemplateError(
-                    f"parameter {parameter.name}: its default is not {allowed_text(parameter)}"
+                    f"parameter {parameter.name}: its default is not"
+                    f" {describe_allowed_values(parameter)}"
                 )
             for value in parameter.allowed or ():
-                if not _is(parameter.kind, value):
+                if not _has_kind(parameter.kind, value):
                     raise TemplateError(
-                        f"parameter {parameter.name}: {value!r} is not {KINDS[parameter.kind]}"
+                        f"parameter {parameter.name}: {value!r} is not"
+                        f" {KIND_DESCRIPTIONS[parameter.kind]}"
                     )
         for field in self.template.job:
-            if field == ID:
-                raise TemplateError(f"job: {ID} is not the template's to give")
-            if field not in FIELDS:
+            if field == ID_FIELD:
+                raise TemplateError(f"job: {ID_FIELD} is not the template's to give")
+            if field not in JOB_FIELDS:
                 raise TemplateError(f"job: there is no field {field}")
         for name in sorted(
             self.referenced_names() - set(names) - {INDEX_PARAMETER, REPETITION_PARAMETER}
@@ -137,41 +139,42 @@
             raise TemplateError(f"job: ${{{name}}} is no parameter")
 
     def check_values(self, values: dict[str, Any]) -> None:
-        """Raise `TemplateError` for a value that no job may have."""
+        """Raise `TemplateError` for an unknown parameter or a value that it doesn't allow."""
         for name, value in values.items():
             parameter = self.parameters.get(name)
             if parameter is None:
                 known = ", ".join(self.parameters) or "none"
                 raise TemplateError(f"{self.title} has no parameter {name}; it has: {known}")
-            if not fits(parameter, value):
+            if not accepts_value(parameter, value):
                 given = msgspec.json.encode(value).decode()[:100]
                 raise TemplateError(
                     f"{self.title}, parameter {name}: given {given}, allowed is"
-                    f" {allowed_text(parameter)}"
+                    f" {describe_allowed_values(parameter)}"
                 )
 
     def render(self, job_id: str, values: dict[str, Value]) -> Job:
-        """The job with these values; `values` may hold `index` and `repetition` too.
+        """Return the job with these values; `values` may hold `index` and `repetition` too.
 
-        `TemplateError` says which value is missing or does not fit the job's field."""
-        bound = {**self.defaults, **values}
-        document = dict(self.fixed)
+        Raises `TemplateError` that names the value that is missing or doesn't fit the job's field.
+        """
+        bound_values = {**self.defaults, **values}
+        document = dict(self.constant_fields)
         try:
-            for field, name in self.direct:
-                document[field] = bound[name]
-            for field, value in self.woven:
-                document[field] = _weave(value, bound)
+            for field, name in self.direct_references:
+                document[field] = bound_values[name]
+            for field, value in self.interpolated_fields:
+                document[field] = _interpolate(value, bound_values)
         except KeyError as error:
             name = error.args[0]
             raise TemplateError(
                 f"{self.title}, parameter {name}: not given, and it has no default"
             ) from None
-        document[ID] = job_id
+        document[ID_FIELD] = job_id
         try:
             job = msgspec.convert(document, Job)
         except msgspec.ValidationError as error:
             raise TemplateError(f"{self.title}: {error}") from None
-        for parameter in self.guarded:
+        for parameter in self.team_restricted:
             if (
                 parameter.name in values
                 and values[parameter.name] != parameter.default
@@ -184,38 +187,46 @@
         return job
 
 
-def _weave(value: Any, bound: dict[str, Value]) -> Any:
+def _interpolate(value: Any, bound_values: dict[str, Value]) -> Any:
     if isinstance(value, list):
-        return [_weave(part, bound) for part in value]
+        return [_interpolate(part, bound_values) for part in value]
     if not isinstance(value, str):
         return value
-    whole = REFERENCE.fullmatch(value)
+    whole = REFERENCE_PATTERN.fullmatch(value)
     if whole:
-        return bound[whole[1]]
+        return bound_values[whole[1]]
 
     def text(match: re.Match[str]) -> str:
-        found = bound[match[1]]
+        found = bound_values[match[1]]
         return str(found).lower() if isinstance(found, bool) else str(found)
 
-    return REFERENCE.sub(text, value)
+    return REFERENCE_PATTERN.sub(text, value)
 
 
 def differences(old: Template, new: Template) -> list[str]:
-    """What has changed between two versions, a line each."""
-    out = []
-    before = {p.name: p for p in old.parameters}
-    after = {p.name: p for p in new.parameters}
-    for name in [*before, *(n for n in after if n not in before)]:
-        if name not in after:
-            out.append(f"parameter {name} is gone")
-        elif name not in before:
-            out.append(f"parameter {name} is new: {allowed_text(after[name])}")
-        elif before[name] != after[name]:
-            was, now = msgspec.to_builtins(before[name]), msgspec.to_builtins(after[name])
-            for key in sorted(was.keys() | now.keys()):
-                if was.get(key) != now.get(key):
-                    out.append(f"parameter {name}, {key}: {was.get(key)!r} -> {now.get(key)!r}")
+    """List the changes between two versions of a template, one line for each."""
+    lines = []
+    old_parameters = {p.name: p for p in old.parameters}
+    new_parameters = {p.name: p for p in new.parameters}
+    for name in [*old_parameters, *(n for n in new_parameters if n not in old_parameters)]:
+        if name not in new_parameters:
+            lines.append(f"parameter {name} is gone")
+        elif name not in old_parameters:
+            lines.append(
+                f"parameter {name} is new: {describe_allowed_values(new_parameters[name])}"
+            )
+        elif old_parameters[name] != new_parameters[name]:
+            old_values, new_values = (
+                msgspec.to_builtins(old_parameters[name]),
+                msgspec.to_builtins(new_parameters[name]),
+            )
+            for key in sorted(old_values.keys() | new_values.keys()):
+                if old_values.get(key) != new_values.get(key):
+                    lines.append(
+                        f"parameter {name}, {key}:"
+                        f" {old_values.get(key)!r} -> {new_values.get(key)!r}"
+                    )
     for field in sorted(old.job.keys() | new.job.keys()):
         if old.job.get(field) != new.job.get(field):
-            out.append(f"job, {field}: {old.job.get(field)!r} -> {new.job.get(field)!r}")
-    return out
+            lines.append(f"job, {field}: {old.job.get(field)!r} -> {new.job.get(field)!r}")
+    return lines
