--- a/sagecove/sweeps/commands.py
+++ b/sagecove/sweeps/commands.py
@@ -1,4 +1,4 @@
-"""`sagecove template` and `sagecove sweep`: the command line's part of sweeps."""
+"""Implements the commands `sagecove template` and `sagecove sweep`."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 from sagecove.controller_client import RequestFailed, ask_controllers, read_json
 
-WAIT_S = 2.0
-OVER = ("done", "aborted")
+POLL_INTERVAL_S = 2.0
+FINAL_STATES = ("done", "aborted")
 
 
 def _path(*parts: str) -> str:
@@ -24,74 +24,91 @@
     return ask_controllers(args.controllers, "POST", path, json.dumps(body).encode())
 
 
-def parser(asking: argparse.ArgumentParser, noun: str) -> argparse.ArgumentParser:
-    """The parser of a noun; `asking` has the options of all commands that ask controllers."""
+def parser(controller_options: argparse.ArgumentParser, noun: str) -> argparse.ArgumentParser:
+    """Build the parser of a noun.
+
+    `controller_options` has the options of all commands that send requests to controllers.
+    """
     if noun == "template":
-        return _template_parser(asking)
-    top = argparse.ArgumentParser(
+        return _template_parser(controller_options)
+    noun_parser = argparse.ArgumentParser(
         prog="sagecove sweep", description="Sweeps: many jobs from one description."
     )
-    verbs = top.add_subparsers(dest="verb", required=True, metavar="VERB")
+    verb_parsers = noun_parser.add_subparsers(dest="verb", required=True, metavar="VERB")
 
     def verb(name: str, text: str, run: Callable[..., Any]) -> argparse.ArgumentParser:
-        made = verbs.add_parser(name, parents=[asking], help=text, description=text)
-        made.set_defaults(run=run)
-        return made
+        subparser = verb_parsers.add_parser(
+            name, parents=[controller_options], help=text, description=text
+        )
+        subparser.set_defaults(run=run)
+        return subparser
 
     submit = verb("submit", "Submit a sweep.", _submit)
     submit.add_argument("file", metavar="FILE", help="the sweep as JSON; - for standard input")
-    submit.add_argument("--wait", action="store_true", help="until it is over, with progress")
-    preview = verb("preview", "What a sweep would expand into; submits nothing.", _preview)
+    submit.add_argument(
+        "--wait", action="store_true", help="wait until it has ended and show progress"
+    )
+    preview = verb(
+        "preview", "Show what a sweep would expand into, without submitting it.", _preview
+    )
     preview.add_argument("file", metavar="FILE", help="the sweep as JSON; - for standard input")
-    verb("list", "Sweeps under way.", _list)
-    status = verb("status", "How far a sweep is, and which points failed.", _status)
-    status.add_argument("--wait", action="store_true", help="until it is over, with progress")
-    points = verb("points", "A sweep's points, with their values and states.", _points)
+    verb("list", "List the sweeps that have not ended.", _list)
+    status = verb("status", "Show the progress of a sweep and the points that failed.", _status)
+    status.add_argument(
+        "--wait", action="store_true", help="wait until it has ended and show progress"
+    )
+    points = verb("points", "List a sweep's points with their values and states.", _points)
     states = ["pending", "running", "done", "failed", "aborted", "left_out"]
-    points.add_argument("--state", choices=states, help="only those")
+    points.add_argument("--state", choices=states, help="list only points in this state")
     points.add_argument("--from", dest="first", type=int, default=0, metavar="K")
     points.add_argument("--most", type=int, default=100, metavar="N", help="default: 100")
-    cancel = verb("cancel", "Cancel all points that are not over.", _cancel)
+    cancel = verb("cancel", "Cancel all points that have not ended.", _cancel)
     retry = verb("retry", "Submit the failed points of a sweep as a new one.", _retry)
     retry.add_argument("--failed", action="store_true", help="those that failed (the default)")
     retry.add_argument("--cancelled", action="store_true", help="those that were cancelled")
-    for made in (status, points, cancel, retry):
-        made.add_argument("sweep", metavar="SWEEP", help="the sweep's id")
+    for subparser in (status, points, cancel, retry):
+        subparser.add_argument("sweep", metavar="SWEEP", help="the sweep's id")
     retry.add_argument("new", metavar="NEW", help="id of the new sweep")
-    return top
+    return noun_parser
 
 
-def _template_parser(asking: argparse.ArgumentParser) -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(
+def _template_parser(controller_options: argparse.ArgumentParser) -> argparse.ArgumentParser:
+    noun_parser = argparse.ArgumentParser(
         prog="sagecove template", description="Templates: job descriptions with parameters."
     )
-    verbs = top.add_subparsers(dest="verb", required=True, metavar="VERB")
-    put = verbs.add_parser("put", parents=[asking], help="keep a new version")
+    verb_parsers = noun_parser.add_subparsers(dest="verb", required=True, metavar="VERB")
+    put = verb_parsers.add_parser("put", parents=[controller_options], help="store a new version")
     put.add_argument("file", metavar="FILE", help="the template as JSON; - for standard input")
     put.set_defaults(run=_template_put)
-    verbs.add_parser("list", parents=[asking], help="all templates").set_defaults(
-        run=_template_list
+    verb_parsers.add_parser(
+        "list", parents=[controller_options], help="all templates"
+    ).set_defaults(run=_template_list)
+    show = verb_parsers.add_parser(
+        "show", parents=[controller_options], help="a version, or the newest"
     )
-    show = verbs.add_parser("show", parents=[asking], help="a version, or the newest")
-    diff = verbs.add_parser("diff", parents=[asking], help="what differs between two versions")
-    for made in (show, diff):
-        made.add_argument("name", metavar="NAME", help="the template's name")
+    diff = verb_parsers.add_parser(
+        "diff", parents=[controller_options], help="what differs between two versions"
+    )
+    for subparser in (show, diff):
+        subparser.add_argument("name", metavar="NAME", help="the template's name")
     show.add_argument("version", metavar="VERSION", type=int, nargs="?")
     show.set_defaults(run=_template_show)
     diff.add_argument("old", metavar="OLD", type=int, help="a version's number")
     diff.add_argument("new", metavar="NEW", type=int, nargs="?", help="default: the newest")
     diff.set_defaults(run=_template_diff)
-    submit = verbs.add_parser("submit", parents=[asking], help="submit one job of a template")
+    submit = verb_parsers.add_parser(
+        "submit", parents=[controller_options], help="submit one job of a template"
+    )
     submit.add_argument("name", metavar="NAME", help="the template's name")
     submit.add_argument("job", metavar="JOB", help="the job's id")
     submit.add_argument("values", metavar="NAME=VALUE", nargs="*", help="values as JSON, or texts")
     submit.add_argument("--version", type=int, help="default: the newest")
     submit.set_defaults(run=_template_submit)
-    return top
+    return noun_parser
 
 
 def run(args: argparse.Namespace) -> int:
-    """Run a command; the exit status. Raises `Failed` and `ValueError`."""
+    """Run a command and return its exit status. Raises `RequestFailed` and `ValueError`."""
     status: int = args.run(args)
     return status
 
@@ -109,8 +126,8 @@
     answer = ask_controllers(args.controllers, "POST", _path("sweeps"), body)
     if args.wait:
         args.sweep = answer["id"]
-        return _follow(args)
-    # What is new is answered without counts of what became of it.
+        return _wait_until_over(args)
+    # The answer for a new sweep has no counts of points by state.
     known = ", was known already" if "done" in answer else ""
     points = answer["points"]
     return _print(args, answer, [f"{answer['id']}: {answer['state']}, {points} points{known}"])
@@ -129,10 +146,12 @@
 
 def _list(args: argparse.Namespace) -> int:
     answer = ask_controllers(args.controllers, "GET", _path("sweeps"))
-    return _print(args, answer, [_line(s) for s in answer["sweeps"]] or ["no sweep is under way"])
+    return _print(
+        args, answer, [_summary_line(s) for s in answer["sweeps"]] or ["no sweep is under way"]
+    )
 
 
-def _line(answer: dict[str, Any]) -> str:
+def _summary_line(answer: dict[str, Any]) -> str:
     answer = {**answer, "starting": max(0, answer["claimed"] - answer["running"])}
     parts = [
         f"{answer[name]} {text}"
@@ -152,13 +171,13 @@
 
 def _status(args: argparse.Namespace) -> int:
     if args.wait:
-        return _follow(args)
+        return _wait_until_over(args)
     answer = ask_controllers(args.controllers, "GET", _path("sweeps", args.sweep))
-    return _print(args, answer, [_line(answer), *_failure_lines(answer)])
+    return _print(args, answer, [_summary_line(answer), *_failure_lines(answer)])
 
 
 def _failure_lines(answer: dict[str, Any]) -> list[str]:
-    """A line for each reason: of thousands of points that fail most do so alike."""
+    """Format one line for each reason, as most of thousands of failing points share one."""
     lines = []
     for reason in answer["reasons"]:
         first = ", ".join(str(point) for point in reason["first"])
@@ -171,9 +190,12 @@
     return lines
 
 
-def _follow(args: argparse.Namespace) -> int:
-    """Ask until the sweep is over; 0 if all its points are done, 1 if some failed or were
-    cancelled. Progress goes to standard error, on a terminal only."""
+def _wait_until_over(args: argparse.Namespace) -> int:
+    """Poll until the sweep has ended and return the exit status.
+
+    It is 0 if all points are done, 1 if some failed or were cancelled. Progress is printed to
+    standard error, on a terminal only.
+    """
     while True:
         try:
             answer = ask_controllers(args.controllers, "GET", _path("sweeps", args.sweep))
@@ -181,14 +203,14 @@
             if error.status not in (None, 429, 503, 504):
                 raise
         else:
-            if answer["state"] in OVER:
+            if answer["state"] in FINAL_STATES:
                 break
             if sys.stderr.isatty():
-                print(f"\r\x1b[K{_line(answer)}", end="", file=sys.stderr, flush=True)
-        time.sleep(WAIT_S)
+                print(f"\r\x1b[K{_summary_line(answer)}", end="", file=sys.stderr, flush=True)
+        time.sleep(POLL_INTERVAL_S)
     if sys.stderr.isatty():
         print("\r\x1b[K", end="", file=sys.stderr)
-    _print(args, answer, [_line(answer)])
+    _print(args, answer, [_summary_line(answer)])
     return 0 if answer["state"] == "done" and not answer["failed"] + answer["cancelled"] else 1
 
 
@@ -214,7 +236,7 @@
 
 def _cancel(args: argparse.Namespace) -> int:
     answer = ask_controllers(args.controllers, "POST", _path("sweeps", args.sweep, "cancel"), b"")
-    return _print(args, answer, [_line(answer)])
+    return _print(args, answer, [_summary_line(answer)])
 
 
 def _retry(args: argparse.Namespace) -> int:
@@ -264,10 +286,10 @@
 
 def _template_submit(args: argparse.Namespace) -> int:
     values = {}
-    for given in args.values:
-        name, sign, text = given.partition("=")
+    for assignment in args.values:
+        name, sign, text = assignment.partition("=")
         if not sign:
-            raise ValueError(f"{given}: must be NAME=VALUE")
+            raise ValueError(f"{assignment}: must be NAME=VALUE")
         try:
             values[name] = json.loads(text)
         except json.JSONDecodeError:
--- a/sagecove/sweeps/routes.py
+++ b/sagecove/sweeps/routes.py
@@ -1,5 +1,8 @@
-"""Templates and sweeps over HTTP. What a user is told of a point rests on the same reads as what is
-told of any job: `done` and `aborted` are final, all else is read anew."""
+"""Serves the HTTP requests about templates, sweeps and points.
+
+Answers about a point rest on the same reads as answers about any job: `done` and `aborted` are
+final and may be answered from memory, every other state is read again.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 import msgspec
 
 from sagecove.coordination.effects import IncomingRequest
-from sagecove.protocol import state as wire
+from sagecove.protocol import state as state_protocol
 from sagecove.protocol.users import (
     CANCELLED,
     DONE,
@@ -25,7 +28,7 @@
 from sagecove.protocol.views import Explanation
 from sagecove.storage.records import FINAL_STATE_PREFIX
 from sagecove.storage.store import Outcome, Result, decode_answer
-from sagecove.sweeps import records as r
+from sagecove.sweeps import records as sweep_records
 from sagecove.sweeps.admission import (
     JobRequest,
     RequestRefused,
@@ -39,8 +42,7 @@
     inline_template,
     requested_space,
 )
-from sagecove.sweeps.model import Sweep
-from sagecove.sweeps.model import decode_block as decoded_block
+from sagecove.sweeps.model import Sweep, decode_block
 from sagecove.sweeps.template import CompiledTemplate, TemplateError
 
 if TYPE_CHECKING:
@@ -48,88 +50,106 @@
 
 log = logging.getLogger("sagecove.sweeps")
 
-# Things that never change, kept after they were read.
-TEMPLATES_KEPT, SWEEPS_KEPT, BLOCKS_KEPT = 50, 20, 100
-PREVIEWED = 10
-POINTS_MOST = 500
-# A point with a record of its own, not known to be over.
-MADE = "made"
+# How many immutable records of each kind are cached after they were read.
+CACHED_TEMPLATE_COUNT, CACHED_SWEEP_COUNT, CACHED_BLOCK_COUNT = 50, 20, 100
+PREVIEW_POINT_COUNT = 10
+MAX_LISTED_POINT_COUNT = 500
+# State of a point that has a job record of its own and isn't known to have ended.
+HAS_RECORD = "made"
 
 
-class Kept:
-    """A bounded memory of what never changes."""
+class BoundedCache:
+    """A bounded cache of immutable records; evicts the oldest entry first."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_count: int) -> None:
+        self.max_count = max_count
         self._items: OrderedDict[str, Any] = OrderedDict()
 
     def get(self, key: str) -> Any:
-        """What is kept, or None."""
+        """Return the cached value, or None."""
         return self._items.get(key)
 
     def put(self, key: str, value: Any) -> None:
-        """Keep it; the oldest goes."""
+        """Cache a value, and evict the oldest entry if the cache is full."""
         self._items[key] = value
-        if len(self._items) > self.most:
+        if len(self._items) > self.max_count:
             self._items.popitem(last=False)
 
 
 class Routes:
-    """Answers to users."""
+    """Handles the HTTP requests about templates, sweeps and points."""
 
     def __init__(self, feature: SweepManager) -> None:
         self.feature = feature
         self.owner = feature.owner
         self.users = feature.owner.users
-        self.templates = Kept(TEMPLATES_KEPT)
-        self.ended = Kept(SWEEPS_KEPT)
-        self.ended_blocks = Kept(BLOCKS_KEPT)
-        # Half of a value is left to what is written beside it.
-        self.limit = self.owner.settings.params.state.value_kb * 512
+        self.templates = BoundedCache(CACHED_TEMPLATE_COUNT)
+        self.ended_sweeps = BoundedCache(CACHED_SWEEP_COUNT)
+        self.ended_blocks = BoundedCache(CACHED_BLOCK_COUNT)
+        # In bytes: half the size limit of a value; the other half is left to data stored with it.
+        self.max_value_bytes = self.owner.settings.params.state.value_kb * 512
 
-    # -- which path -----------------------------------------------------------------------------
+    # -- routing --------------------------------------------------------------------------------
 
-    def handle_request(self, ask: IncomingRequest) -> bool:
-        """Answer a request, if the path is one of ours."""
-        path, _, query = ask.path.partition("?")
+    def handle_request(self, incoming: IncomingRequest) -> bool:
+        """Answer a request if its path belongs to sweeps; return whether it does."""
+        path, _, query = incoming.path.partition("?")
         parts = path.strip("/").split("/")
-        args = {key: values[-1] for key, values in parse_qs(query).items()}
+        query_args = {key: values[-1] for key, values in parse_qs(query).items()}
         try:
-            handler = self._handler(ask.method, parts, args)
+            handler = self._handler(incoming.method, parts, query_args)
             if handler is None:
                 return False
             if not self.owner.mirror.loaded or not self.owner.machine_types:
-                self.users.refuse_for_now(ask.exchange, "not ready")
+                self.users.refuse_for_now(incoming.exchange, "not ready")
                 return True
-            handler(ask)
+            handler(incoming)
         except RequestRefused as refused:
-            self._refuse(ask.exchange, refused)
+            self._refuse(incoming.exchange, refused)
         return True
 
     def _handler(
-        self, method: str, parts: list[str], args: dict[str, str]
+        self, method: str, parts: list[str], query_args: dict[str, str]
     ) -> Callable[[IncomingRequest], None] | None:
-        # What is named comes last: sweeps' and jobs' ids, templates' names.
+        # Fixed paths are matched before those that hold a sweep's or job's id or a template's name.
         known: dict[tuple[str, ...], dict[str, Callable[[IncomingRequest], None]]] = {
             ("api", "templates"): {"GET": self._list_templates, "POST": self._put_template},
-            ("api", "sweeps"): {"GET": self._list, "POST": self._submit},
+            ("api", "sweeps"): {"GET": self._list_sweeps, "POST": self._submit},
             ("api", "sweeps", "preview"): {"POST": self._preview},
         }
         handlers = known.get(tuple(parts))
         name = parts[2] if len(parts) > 2 else parts[-1]
         if handlers is None:
             named: dict[tuple[str, ...], dict[str, Callable[[IncomingRequest], None]]] = {
-                ("api", "templates", "*"): {"GET": lambda a: self._show_template(a, name, args)},
-                ("api", "templates", "*", "jobs"): {"POST": lambda a: self._from(a, name)},
-                ("api", "sweeps", "*"): {"GET": lambda a: self._status(a, name)},
-                ("api", "sweeps", "*", "cancel"): {"POST": lambda a: self._cancel(a, name)},
-                ("api", "sweeps", "*", "retry"): {"POST": lambda a: self._retry(a, name)},
-                ("api", "sweeps", "*", "points"): {"GET": lambda a: self._points(a, name, args)},
-                ("api", "jobs", "*", "description"): {"GET": lambda a: self._describe(a, name)},
+                ("api", "templates", "*"): {
+                    "GET": lambda incoming: self._show_template(incoming, name, query_args)
+                },
+                ("api", "templates", "*", "jobs"): {
+                    "POST": lambda incoming: self._submit_from_template(incoming, name)
+                },
+                ("api", "sweeps", "*"): {
+                    "GET": lambda incoming: self._sweep_status(incoming, name)
+                },
+                ("api", "sweeps", "*", "cancel"): {
+                    "POST": lambda incoming: self._cancel_sweep(incoming, name)
+                },
+                ("api", "sweeps", "*", "retry"): {
+                    "POST": lambda incoming: self._retry_sweep(incoming, name)
+                },
+                ("api", "sweeps", "*", "points"): {
+                    "GET": lambda incoming: self._points_page(incoming, name, query_args)
+                },
+                ("api", "jobs", "*", "description"): {
+                    "GET": lambda incoming: self._describe_job(incoming, name)
+                },
             }
             handlers = named.get((*parts[:2], "*", *parts[3:]))
         if handlers is None and parts[0] == "explain" and len(parts) == 2:
-            handlers = {"GET": lambda a: self._explain(a, name)} if r.parse_point_id(name) else None
+            handlers = (
+                {"GET": lambda incoming: self._explain_point(incoming, name)}
+                if sweep_records.parse_point_id(name)
+                else None
+            )
         if handlers is None:
             return None
         if method not in handlers:
@@ -142,17 +162,24 @@
 
     # -- templates ------------------------------------------------------------------------------
 
-    def _template(
-        self, name: str, version: int | None, exchange: Any, then: Callable[[r.Template], None]
+    def _find_template(
+        self,
+        name: str,
+        version: int | None,
+        exchange: Any,
+        on_found: Callable[[sweep_records.Template], None],
     ) -> None:
-        """Find a template's version, or its newest; answers by itself if it can't."""
+        """Pass a template's version, by default the newest, to `on_found`.
+
+        Answers the request with an error if there is none or it can't be read.
+        """
         if version is not None:
-            kept = self.templates.get(r.template_key(name, version))
-            if kept is not None:
-                self._guarded(exchange, lambda: then(kept))
+            cached = self.templates.get(sweep_records.template_key(name, version))
+            if cached is not None:
+                self._refuse_on_error(exchange, lambda: on_found(cached))
                 return
 
-        def versions(found: list[r.Template] | None) -> None:
+        def on_templates(found: list[sweep_records.Template] | None) -> None:
             if found is None:
                 self.users.refuse_state_unavailable(exchange)
                 return
@@ -162,231 +189,247 @@
                 self._refuse(exchange, RequestRefused(404, f"there is no {what}"))
                 return
             template = wanted[-1]
-            self.templates.put(r.template_key(name, template.version), template)
-            self._guarded(exchange, lambda: then(template))
+            self.templates.put(sweep_records.template_key(name, template.version), template)
+            self._refuse_on_error(exchange, lambda: on_found(template))
 
-        self._versions(f"{r.TEMPLATE_PREFIX}{name}/", versions)
+        self._read_templates(f"{sweep_records.TEMPLATE_PREFIX}{name}/", on_templates)
 
-    def _guarded(self, exchange: Any, call: Callable[[], None]) -> None:
+    def _refuse_on_error(self, exchange: Any, call: Callable[[], None]) -> None:
         try:
             call()
         except RequestRefused as refused:
             self._refuse(exchange, refused)
 
-    def _versions(self, prefix: str, done: Callable[[list[r.Template] | None], None]) -> None:
-        """All templates below a prefix, in order; None if they can't be read."""
-        found: list[r.Template] = []
+    def _read_templates(
+        self, prefix: str, on_read: Callable[[list[sweep_records.Template] | None], None]
+    ) -> None:
+        """Pass all templates below a prefix, in key order, to `on_read`; None if the read fails."""
+        found: list[sweep_records.Template] = []
 
-        def paged(status: int | None, body: bytes) -> None:
-            page = decode_answer(body, wire.Page) if status == 200 else None
+        def on_page(status: int | None, body: bytes) -> None:
+            page = decode_answer(body, state_protocol.Page) if status == 200 else None
             if page is None:
-                done(None)
+                on_read(None)
                 return
             for pair in page.items:
                 try:
-                    found.append(msgspec.convert(pair.value, r.Template))
+                    found.append(msgspec.convert(pair.value, sweep_records.Template))
                 except msgspec.ValidationError:
                     log.info("unreadable template key=%s", pair.key)
             if page.more and page.items:
-                self.owner.store.read_page(self.owner.now, prefix, page.items[-1].key, paged)
+                self.owner.store.read_page(self.owner.now, prefix, page.items[-1].key, on_page)
             else:
-                done(found)
+                on_read(found)
 
-        self.owner.store.read_page(self.owner.now, prefix, "", paged)
+        self.owner.store.read_page(self.owner.now, prefix, "", on_page)
 
-    def _list_templates(self, ask: IncomingRequest) -> None:
-        def versions(found: list[r.Template] | None) -> None:
+    def _list_templates(self, incoming: IncomingRequest) -> None:
+        def on_templates(found: list[sweep_records.Template] | None) -> None:
             if found is None:
-                self.users.refuse_state_unavailable(ask.exchange)
+                self.users.refuse_state_unavailable(incoming.exchange)
                 return
             newest = {t.name: t for t in found}
-            told = [
+            answer = [
                 {"name": t.name, "version": t.version, "about": t.about} for t in newest.values()
             ]
-            self.users.reply(ask.exchange, 200, {"templates": told})
+            self.users.reply(incoming.exchange, 200, {"templates": answer})
 
-        self._versions(r.TEMPLATE_PREFIX, versions)
+        self._read_templates(sweep_records.TEMPLATE_PREFIX, on_templates)
 
-    def _show_template(self, ask: IncomingRequest, name: str, args: dict[str, str]) -> None:
-        version = args.get("version")
+    def _show_template(
+        self, incoming: IncomingRequest, name: str, query_args: dict[str, str]
+    ) -> None:
+        version = query_args.get("version")
         if version is not None and not version.isdecimal():
             raise RequestRefused(400, "`version` must be a whole number")
-        self._template(
+        self._find_template(
             name,
             int(version) if version else None,
-            ask.exchange,
-            lambda template: self.users.reply(ask.exchange, 200, template),
+            incoming.exchange,
+            lambda template: self.users.reply(incoming.exchange, 200, template),
         )
 
-    def _put_template(self, ask: IncomingRequest) -> None:
-        """A new version; the newest one again, if nothing has changed."""
-        template: r.Template = decode_request(ask.body, r.Template)
+    def _put_template(self, incoming: IncomingRequest) -> None:
+        """Store a new version of a template; answer with the newest one if nothing has changed."""
+        template: sweep_records.Template = decode_request(incoming.body, sweep_records.Template)
         template.version = 0
-        check_template(template, self.limit)
+        check_template(template, self.max_value_bytes)
 
-        def versions(found: list[r.Template] | None) -> None:
+        def on_templates(found: list[sweep_records.Template] | None) -> None:
             if found is None:
-                self.users.refuse_state_unavailable(ask.exchange)
+                self.users.refuse_state_unavailable(incoming.exchange)
                 return
             newest = found[-1].version if found else 0
             if found and msgspec.structs.replace(found[-1], version=0) == template:
-                told = {"name": template.name, "version": newest}
-                self.users.reply(ask.exchange, 200, told)
+                answer = {"name": template.name, "version": newest}
+                self.users.reply(incoming.exchange, 200, answer)
                 return
             numbered = msgspec.structs.replace(template, version=newest + 1)
-            key = r.template_key(template.name, newest + 1)
+            key = sweep_records.template_key(template.name, newest + 1)
 
-            def done(result: Result) -> None:
+            def on_commit(result: Result) -> None:
                 if result.outcome is Outcome.DONE:
                     log.info("template put name=%s version=%d", template.name, newest + 1)
-                    told = {"name": template.name, "version": newest + 1}
-                    self.users.reply(ask.exchange, 201, told)
+                    answer = {"name": template.name, "version": newest + 1}
+                    self.users.reply(incoming.exchange, 201, answer)
                 elif result.outcome is Outcome.CONFLICT:
-                    self.users.refuse_for_now(ask.exchange, "another version came in between")
+                    self.users.refuse_for_now(incoming.exchange, "another version came in between")
                 else:
-                    self.users.refuse_state_unavailable(ask.exchange)
+                    self.users.refuse_state_unavailable(incoming.exchange)
 
-            self.owner.commit([(key, 0)], [wire.Put(key, numbered)], done, urgent=True)
+            self.owner.commit(
+                [(key, 0)], [state_protocol.Put(key, numbered)], on_commit, urgent=True
+            )
 
-        self._versions(f"{r.TEMPLATE_PREFIX}{template.name}/", versions)
+        self._read_templates(f"{sweep_records.TEMPLATE_PREFIX}{template.name}/", on_templates)
 
-    def _from(self, ask: IncomingRequest, name: str) -> None:
-        """Submit a single job of a template."""
-        request: JobRequest = decode_request(ask.body, JobRequest)
+    def _submit_from_template(self, incoming: IncomingRequest, name: str) -> None:
+        """Submit a single job rendered from a template."""
+        request: JobRequest = decode_request(incoming.body, JobRequest)
         if not JOB_ID_PATTERN.match(request.nameId):
             raise RequestRefused(400, "`nameId` has not the form of a job's id")
 
-        def found(template: r.Template) -> None:
-            form = CompiledTemplate(template)
+        def on_template(template: sweep_records.Template) -> None:
+            compiled = CompiledTemplate(template)
             try:
-                form.check_values(request.values)
-                job = form.render(request.nameId, request.values)
+                compiled.check_values(request.values)
+                job = compiled.render(request.nameId, request.values)
             except TemplateError as error:
                 raise RequestRefused(422, str(error)) from None
-            self.users.submit(msgspec.json.encode(job), ask.exchange)
+            self.users.submit(msgspec.json.encode(job), incoming.exchange)
 
-        self._template(name, request.version, ask.exchange, found)
+        self._find_template(name, request.version, incoming.exchange, on_template)
 
-    # -- submitting -----------------------------------------------------------------------------
+    # -- submission -----------------------------------------------------------------------------
 
-    def _submit(self, ask: IncomingRequest) -> None:
-        request = decode_sweep_request(ask.body)
+    def _submit(self, incoming: IncomingRequest) -> None:
+        request = decode_sweep_request(incoming.body)
         if not self.owner.sync.connected():
-            self.users.refuse_state_unavailable(ask.exchange)
+            self.users.refuse_state_unavailable(incoming.exchange)
             return
         if len(self.owner.store.urgent) > 100:
-            self.users.refuse_for_now(ask.exchange, "too many requests at once", 2.0)
+            self.users.refuse_for_now(incoming.exchange, "too many requests at once", 2.0)
             return
         space = requested_space(request.space, self.feature.points_most)
         if request.template is None:
-            self._begin(request, inline_template(request, space), space, ask.exchange)
+            self._start_sweep(request, inline_template(request, space), space, incoming.exchange)
             return
-        self._template(
+        self._find_template(
             request.template,
             request.version,
-            ask.exchange,
-            lambda template: self._begin(request, template, space, ask.exchange),
+            incoming.exchange,
+            lambda template: self._start_sweep(request, template, space, incoming.exchange),
         )
 
-    def _begin(
-        self, request: SweepRequest, template: r.Template, space: Any, exchange: Any, only: int = 0
+    def _start_sweep(
+        self,
+        request: SweepRequest,
+        template: sweep_records.Template,
+        space: Any,
+        exchange: Any,
+        only: int = 0,
     ) -> None:
         nodes = len(self.owner.settings.nodes)
         at = self.owner.wall()
-        record = build_sweep_record(request, template, space, at, nodes, self.limit, only)
-        taken = next((j for j in self.owner.jobs if self._is_point(j, record.id)), None)
-        if taken is not None and record.id not in self.feature.sweeps:
-            raise RequestRefused(422, self._clash(record.id, taken))
-        # Jobs that ended before sweeps were turned on left no mark.
+        record = build_sweep_record(request, template, space, at, nodes, self.max_value_bytes, only)
+        conflicting_job = next(
+            (j for j in self.owner.jobs if self._is_point_of(j, record.id)), None
+        )
+        if conflicting_job is not None and record.id not in self.feature.sweeps:
+            raise RequestRefused(422, self._id_conflict(record.id, conflicting_job))
+        # Jobs that ended before sweeps were enabled wrote no key below TAKEN_SWEEP_ID_PREFIX, so
+        # look for their final states too.
         prefix = f"{FINAL_STATE_PREFIX}{record.id}.p"
 
-        def paged(status: int | None, body: bytes) -> None:
-            page = decode_answer(body, wire.Page) if status == 200 else None
+        def on_page(status: int | None, body: bytes) -> None:
+            page = decode_answer(body, state_protocol.Page) if status == 200 else None
             if page is None:
                 self.users.refuse_state_unavailable(exchange)
                 return
             names = [pair.key[len(FINAL_STATE_PREFIX) :] for pair in page.items]
-            clash = next((name for name in names if self._is_point(name, record.id)), None)
-            if clash is not None:
-                self._refuse(exchange, RequestRefused(422, self._clash(record.id, clash)))
+            conflict = next((name for name in names if self._is_point_of(name, record.id)), None)
+            if conflict is not None:
+                self._refuse(exchange, RequestRefused(422, self._id_conflict(record.id, conflict)))
             else:
-                self._store(record, exchange)
+                self._write_sweep(record, exchange)
 
-        self.owner.store.read_page(self.owner.now, prefix, "", paged)
+        self.owner.store.read_page(self.owner.now, prefix, "", on_page)
 
     @staticmethod
-    def _is_point(job_id: str, sweep_id: str) -> bool:
-        point = r.parse_point_id(job_id)
+    def _is_point_of(job_id: str, sweep_id: str) -> bool:
+        point = sweep_records.parse_point_id(job_id)
         return point is not None and point[0] == sweep_id
 
     @staticmethod
-    def _clash(sweep_id: str, job_id: str) -> str:
+    def _id_conflict(sweep_id: str, job_id: str) -> str:
         return f"job {job_id} has the id of a point of {sweep_id}: choose another id for the sweep"
 
-    def _store(self, record: r.SweepRecord, exchange: Any) -> None:
+    def _write_sweep(self, record: sweep_records.SweepRecord, exchange: Any) -> None:
         keys = (
-            r.SWEEP_PREFIX + record.id,
-            r.ENDED_SWEEP_PREFIX + record.id,
-            r.TAKEN_SWEEP_ID_PREFIX + record.id,
+            sweep_records.SWEEP_PREFIX + record.id,
+            sweep_records.ENDED_SWEEP_PREFIX + record.id,
+            sweep_records.TAKEN_SWEEP_ID_PREFIX + record.id,
         )
 
-        def done(result: Result) -> None:
+        def on_commit(result: Result) -> None:
             if result.outcome is Outcome.DONE:
                 points = record.space.count()
                 log.info("accepted sweep=%s points=%d", record.id, points)
-                told = {"id": record.id, "state": PENDING, "points": points}
-                self.users.reply(exchange, 201, told)
+                answer = {"id": record.id, "state": PENDING, "points": points}
+                self.users.reply(exchange, 201, answer)
             elif result.outcome is not Outcome.CONFLICT:
                 self.users.refuse_state_unavailable(exchange)
             elif keys[2] in result.failed:
-                clash = RequestRefused(422, self._clash(record.id, f"{record.id}.p..."))
-                self._refuse(exchange, clash)
+                conflict = RequestRefused(422, self._id_conflict(record.id, f"{record.id}.p..."))
+                self._refuse(exchange, conflict)
             else:
-                # Known already: a submission twice with the same id is one.
-                self._tell(record.id, exchange)
+                # The sweep exists already: submitting the same id twice counts as one submission.
+                self._reply_sweep_state(record.id, exchange)
 
         conditions = [(key, 0) for key in keys]
-        put = wire.Put(keys[0], record)
-        self.owner.commit(conditions, [put], done, urgent=True)
+        put = state_protocol.Put(keys[0], record)
+        self.owner.commit(conditions, [put], on_commit, urgent=True)
 
-    def _preview(self, ask: IncomingRequest) -> None:
-        """What a submission would expand into; nothing is written."""
-        request = decode_sweep_request(ask.body)
+    def _preview(self, incoming: IncomingRequest) -> None:
+        """Answer with the points that a submission would expand into; write nothing."""
+        request = decode_sweep_request(incoming.body)
         space = requested_space(request.space, self.feature.points_most)
 
-        def found(template: r.Template) -> None:
+        def on_template(template: sweep_records.Template) -> None:
             nodes = self.owner.settings.nodes
-            record = build_sweep_record(request, template, space, 0.0, len(nodes), self.limit)
+            record = build_sweep_record(
+                request, template, space, 0.0, len(nodes), self.max_value_bytes
+            )
             sweep = Sweep(record, 0, nodes[0], nodes)
-            told = []
-            for k in range(min(sweep.size, 20 * PREVIEWED)):
-                spec = sweep.point_spec(k)
+            answer = []
+            for point_number in range(min(sweep.size, 20 * PREVIEW_POINT_COUNT)):
+                spec = sweep.point_spec(point_number)
                 if spec is None:
                     continue
                 why = spec if isinstance(spec, str) else self.users.impossible_reason(spec)
-                point = {"point": k, "values": sweep.point_values(k)}
-                told.append({**point, "failed": why} if why else {**point, "job": spec})
-                if len(told) == PREVIEWED:
+                point = {"point": point_number, "values": sweep.point_values(point_number)}
+                answer.append({**point, "failed": why} if why else {**point, "job": spec})
+                if len(answer) == PREVIEW_POINT_COUNT:
                     break
-            self.users.reply(ask.exchange, 200, {"points": sweep.size, "first": told})
+            self.users.reply(incoming.exchange, 200, {"points": sweep.size, "first": answer})
 
         if request.template is None:
-            found(inline_template(request, space))
+            on_template(inline_template(request, space))
         else:
-            self._template(request.template, request.version, ask.exchange, found)
+            self._find_template(request.template, request.version, incoming.exchange, on_template)
 
     # -- sweeps ---------------------------------------------------------------------------------
 
-    def _list(self, ask: IncomingRequest) -> None:
-        told = [self._view(sweep) for sweep in self.feature.sweeps.values()]
-        self.users.reply(ask.exchange, 200, {"sweeps": told})
+    def _list_sweeps(self, incoming: IncomingRequest) -> None:
+        answer = [self._sweep_view(sweep) for sweep in self.feature.sweeps.values()]
+        self.users.reply(incoming.exchange, 200, {"sweeps": answer})
 
-    def _view(self, sweep: Sweep) -> dict[str, Any]:
-        running = self._running(sweep)
+    def _sweep_view(self, sweep: Sweep) -> dict[str, Any]:
+        running = self._running_point_count(sweep)
         failures = sorted(
-            (block.first_point + k, why)
+            (block.first_point + offset, why)
             for block in sweep.blocks.values()
-            for k, why in block.failure_reasons.items()
+            for offset, why in block.failure_reasons.items()
         )
         return {
             "id": sweep.id,
@@ -396,51 +439,53 @@
             **sweep.count_points(),
             "running": running,
             "looked_through": sweep.scanned_count == len(sweep.scan_order),
-            "failures": [{"point": k, "why": why} for k, why in failures[:20]],
-            "reasons": _reasons(failures),
+            "failures": [
+                {"point": point_number, "why": why} for point_number, why in failures[:20]
+            ],
+            "reasons": _group_reasons(failures),
         }
 
-    def _running(self, sweep: Sweep) -> int:
-        """Points that run, as far as is known here: by this controller's machines and hints."""
+    def _running_point_count(self, sweep: Sweep) -> int:
+        """Count running points by this controller's machines and its peers' hints."""
         count = 0
         for job in self.owner.backlog.active.values():
-            ours = (
+            in_sweep = (
                 getattr(job.durable_state, "sweep", None) is sweep or job.record.sweep == sweep.id
             )
-            if ours and (job.claims or job.placed):
-                here = any(p.state == "running" for p in job.placed.values())
-                count += here or self.owner.peers.running_elsewhere(job.id) > 0
+            if in_sweep and (job.claims or job.placed):
+                running_here = any(p.state == "running" for p in job.placed.values())
+                count += running_here or self.owner.peers.running_elsewhere(job.id) > 0
         return count
 
-    def _status(self, ask: IncomingRequest, sweep_id: str) -> None:
-        def read(good: bool) -> None:
-            if good:
-                self._tell(sweep_id, ask.exchange)
+    def _sweep_status(self, incoming: IncomingRequest, sweep_id: str) -> None:
+        def after_read(read_succeeded: bool) -> None:
+            if read_succeeded:
+                self._reply_sweep_state(sweep_id, incoming.exchange)
             else:
-                self.users.refuse_state_unavailable(ask.exchange)
+                self.users.refuse_state_unavailable(incoming.exchange)
 
-        self.users.call_after_read(read)
+        self.users.call_after_read(after_read)
 
-    def _tell(self, sweep_id: str, exchange: Any) -> None:
-        """A sweep's state, live or over."""
+    def _reply_sweep_state(self, sweep_id: str, exchange: Any) -> None:
+        """Answer with the state of a sweep, whether it is live or has ended."""
         sweep = self.feature.sweeps.get(sweep_id)
         if sweep is not None:
-            self.users.reply(exchange, 200, self._view(sweep))
+            self.users.reply(exchange, 200, self._sweep_view(sweep))
             return
 
-        def ended(over: r.EndedSweepRecord) -> None:
-            progress, record = over.progress, over.record
+        def reply_ended(ended_sweep: sweep_records.EndedSweepRecord) -> None:
+            progress, record = ended_sweep.progress, ended_sweep.record
             points = record.space.count()
             other = points - progress.done - progress.failed - progress.left_out
-            told = {
+            answer = {
                 "id": record.id,
-                "state": over.state,
+                "state": ended_sweep.state,
                 "template": record.template.name,
                 "version": record.template.version,
                 "points": points,
                 "done": progress.done,
                 "failed": progress.failed,
-                "cancelled": other if over.state == CANCELLED else progress.cancelled,
+                "cancelled": other if ended_sweep.state == CANCELLED else progress.cancelled,
                 "left_out": progress.left_out,
                 "claimed": 0,
                 "waiting": 0,
@@ -449,35 +494,36 @@
                 "failures": [],
                 "reasons": [],
             }
-            self.users.reply(exchange, 200, told)
+            self.users.reply(exchange, 200, answer)
 
-        self._ended(sweep_id, exchange, ended)
+        self._find_ended_sweep(sweep_id, exchange, reply_ended)
 
-    def _ended(
+    def _find_ended_sweep(
         self,
         sweep_id: str,
         exchange: Any,
-        then: Callable[[r.EndedSweepRecord], None],
+        on_found: Callable[[sweep_records.EndedSweepRecord], None],
         missing: Callable[[], None] | None = None,
     ) -> None:
-        """Find a sweep that is over; 404, or `missing`, if there is none."""
-        kept = self.ended.get(sweep_id)
-        if kept is not None:
-            then(kept)
+        """Pass an ended sweep to `on_found`; if there is none, call `missing` or answer 404."""
+        cached = self.ended_sweeps.get(sweep_id)
+        if cached is not None:
+            on_found(cached)
             return
 
-        def done(status: int | None, body: bytes) -> None:
-            pair = decode_answer(body, wire.Pair) if status == 200 else None
+        def on_answer(status: int | None, body: bytes) -> None:
+            pair = decode_answer(body, state_protocol.Pair) if status == 200 else None
             if pair is not None:
                 try:
-                    over = msgspec.convert(pair.value, r.EndedSweepRecord)
+                    ended_sweep = msgspec.convert(pair.value, sweep_records.EndedSweepRecord)
                 except msgspec.ValidationError:
                     status = None
                 else:
-                    # Whoever reads of a cancellation may tell a user of it.
+                    # Users may learn of a cancellation by this read, so peers have to read
+                    # up to its revision to know of it.
                     self.owner.cancellations.raise_floor(pair.version)
-                    self.ended.put(sweep_id, over)
-                    then(over)
+                    self.ended_sweeps.put(sweep_id, ended_sweep)
+                    on_found(ended_sweep)
                     return
             if status != 404:
                 self.users.refuse_state_unavailable(exchange)
@@ -486,94 +532,96 @@
             else:
                 self._refuse(exchange, RequestRefused(404, f"there is no sweep {sweep_id}"))
 
-        if not r.SWEEP_ID_PATTERN.match(sweep_id):
+        if not sweep_records.SWEEP_ID_PATTERN.match(sweep_id):
             self._refuse(exchange, RequestRefused(404, f"there is no sweep {sweep_id}"))
             return
-        self.owner.store.read(self.owner.now, r.ENDED_SWEEP_PREFIX + sweep_id, done)
+        self.owner.store.read(
+            self.owner.now, sweep_records.ENDED_SWEEP_PREFIX + sweep_id, on_answer
+        )
 
-    def _cancel(self, ask: IncomingRequest, sweep_id: str) -> None:
-        """Cancel all of a sweep that is not over: its record goes, and with it every point."""
+    def _cancel_sweep(self, incoming: IncomingRequest, sweep_id: str) -> None:
+        """Cancel all points that haven't ended, by deleting the sweep's record."""
 
-        def read(good: bool) -> None:
+        def after_read(read_succeeded: bool) -> None:
             sweep = self.feature.sweeps.get(sweep_id)
-            if not good:
-                self.users.refuse_state_unavailable(ask.exchange)
+            if not read_succeeded:
+                self.users.refuse_state_unavailable(incoming.exchange)
             elif sweep is None:
-                self._tell(sweep_id, ask.exchange)
+                self._reply_sweep_state(sweep_id, incoming.exchange)
             else:
-                self._write_cancel(sweep, ask)
+                self._write_cancel(sweep, incoming)
 
-        self.users.call_after_read(read)
+        self.users.call_after_read(after_read)
 
-    def _write_cancel(self, sweep: Sweep, ask: IncomingRequest) -> None:
+    def _write_cancel(self, sweep: Sweep, incoming: IncomingRequest) -> None:
         owner = self.owner
-        # Counts are as of now; what each point came to stays with its block.
+        # Counts are as of now; the result of each point stays in its block's record.
         counts = sweep.count_points()
-        progress = r.ProgressRecord(
+        progress = sweep_records.ProgressRecord(
             sweep.progress.over,
             counts["done"],
             counts["failed"],
             counts["cancelled"],
             counts["left_out"],
         )
-        over = r.EndedSweepRecord(CANCELLED, sweep.record, progress)
-        key = r.SWEEP_PREFIX + sweep.id
+        ended_sweep = sweep_records.EndedSweepRecord(CANCELLED, sweep.record, progress)
+        key = sweep_records.SWEEP_PREFIX + sweep.id
         conditions = [
             (key, sweep.stamp),
-            (r.PROGRESS_PREFIX + sweep.id, sweep.progress_stamp),
-            (r.ENDED_SWEEP_PREFIX + sweep.id, 0),
+            (sweep_records.PROGRESS_PREFIX + sweep.id, sweep.progress_stamp),
+            (sweep_records.ENDED_SWEEP_PREFIX + sweep.id, 0),
         ]
-        changes: list[wire.Put | wire.Delete] = [
-            wire.Delete(key),
-            wire.Put(r.ENDED_SWEEP_PREFIX + sweep.id, over),
+        changes: list[state_protocol.Put | state_protocol.Delete] = [
+            state_protocol.Delete(key),
+            state_protocol.Put(sweep_records.ENDED_SWEEP_PREFIX + sweep.id, ended_sweep),
         ]
         if sweep.progress_stamp:
-            changes.append(wire.Delete(r.PROGRESS_PREFIX + sweep.id))
+            changes.append(state_protocol.Delete(sweep_records.PROGRESS_PREFIX + sweep.id))
         running = [
             j.id for j in owner.jobs.values() if getattr(j.durable_state, "sweep", None) is sweep
         ]
 
-        def done(result: Result) -> None:
+        def on_commit(result: Result) -> None:
             if result.outcome is Outcome.DONE:
                 for job_id in running[:3]:
-                    # A few are enough for the peers to look.
+                    # Announcing a few jobs is enough to make the peers check the whole sweep.
                     owner.peers.announce_cancellation(job_id)
                 log.info("cancelled sweep=%s", sweep.id)
-                self._tell(sweep.id, ask.exchange)
+                self._reply_sweep_state(sweep.id, incoming.exchange)
             elif result.outcome is Outcome.CONFLICT:
-                self._cancel(ask, sweep.id)
+                self._cancel_sweep(incoming, sweep.id)
             else:
-                self.users.refuse_state_unavailable(ask.exchange)
+                self.users.refuse_state_unavailable(incoming.exchange)
 
-        owner.commit(conditions, changes, done, urgent=True)
+        owner.commit(conditions, changes, on_commit, urgent=True)
 
     # -- points ---------------------------------------------------------------------------------
 
-    def _block(
+    def _read_block(
         self,
         sweep_id: str,
-        number: int,
+        block_number: int,
         exchange: Any,
-        then: Callable[[r.BlockRecord], None],
+        on_found: Callable[[sweep_records.BlockRecord], None],
     ) -> None:
-        """A block's record as it stands, wherever it is; an empty one if there is none."""
-        stored = self.feature.stored_blocks.get(sweep_id, {}).get(number)
+        """Pass a block's current record, live or ended, to `on_found`; an empty one if none."""
+        stored = self.feature.stored_blocks.get(sweep_id, {}).get(block_number)
         if stored is not None:
-            then(stored[0])
+            on_found(stored[0])
             return
-        key = r.block_key(r.ENDED_BLOCK_PREFIX, sweep_id, number)
-        kept = self.ended_blocks.get(key)
-        if kept is not None:
-            then(kept)
+        key = sweep_records.block_key(sweep_records.ENDED_BLOCK_PREFIX, sweep_id, block_number)
+        cached = self.ended_blocks.get(key)
+        if cached is not None:
+            on_found(cached)
             return
 
-        def done(status: int | None, body: bytes) -> None:
+        def on_answer(status: int | None, body: bytes) -> None:
             record = None
             if status == 404:
-                record = r.BlockRecord()
-            elif status == 200 and (pair := decode_answer(body, wire.Pair)) is not None:
+                record = sweep_records.BlockRecord()
+            elif status == 200 and (pair := decode_answer(body, state_protocol.Pair)) is not None:
                 try:
-                    record = msgspec.convert(pair.value, r.BlockRecord)
+                    record = msgspec.convert(pair.value, sweep_records.BlockRecord)
                 except msgspec.ValidationError:
                     log.info("unreadable block key=%s", key)
                 else:
@@ -582,102 +630,118 @@
             if record is None:
                 self.users.refuse_state_unavailable(exchange)
             else:
-                then(record)
+                on_found(record)
 
-        self.owner.store.read(self.owner.now, key, done)
+        self.owner.store.read(self.owner.now, key, on_answer)
 
     def answer_point_request(self, kind: str, job_id: str, exchange: Any) -> None:
-        """A user asks for a job of a point's id that is no job here; a read has been done."""
-        found = r.parse_point_id(job_id)
+        """Answer a user's request for a job id that is a point's and is no job on this controller.
+
+        The caller has completed a read of the state service before.
+        """
+        found = sweep_records.parse_point_id(job_id)
         assert found is not None
-        sweep_id, k = found
+        sweep_id, point_number = found
         sweep = self.feature.sweeps.get(sweep_id)
         final = self.feature.final_states.get(job_id)
         if final is not None and kind in ("status", "cancel"):
-            self._final(kind, job_id, final, exchange)
+            self._reply_final_state(kind, job_id, final, exchange)
         elif sweep is not None:
-            self._tell_point(kind, sweep, k, None, exchange)
+            self._answer_for_point(kind, sweep, point_number, None, exchange)
         else:
-            self._ended(
+            self._find_ended_sweep(
                 sweep_id,
                 exchange,
-                lambda over: self._tell_point(kind, self._as_sweep(over), k, over, exchange),
+                lambda ended_sweep: self._answer_for_point(
+                    kind, self._rebuild_sweep(ended_sweep), point_number, ended_sweep, exchange
+                ),
                 lambda: self.users.read_final_state(kind, job_id, exchange),
             )
 
-    def _final(self, kind: str, job_id: str, state: str, exchange: Any) -> None:
+    def _reply_final_state(self, kind: str, job_id: str, state: str, exchange: Any) -> None:
         if state == CANCELLED:
-            # By what the mirror has, or by what was read and noted then.
+            # The mirror's revision covers a cancellation known from the mirror; for one known
+            # from a read, that read has raised the floor already.
             self.owner.cancellations.raise_floor(self.owner.mirror.applied)
         known = JobStatus(job_id, state, 1 if state == DONE else 0, 0)
         self.users.reply(exchange, 200, known if kind == "status" else JobStatus(job_id, state))
 
-    def _as_sweep(self, over: r.EndedSweepRecord) -> Sweep:
+    def _rebuild_sweep(self, ended_sweep: sweep_records.EndedSweepRecord) -> Sweep:
         nodes = self.owner.settings.nodes
-        return Sweep(over.record, 0, nodes[0], nodes)
+        return Sweep(ended_sweep.record, 0, nodes[0], nodes)
 
-    def _tell_point(
-        self, kind: str, sweep: Sweep, k: int, over: r.EndedSweepRecord | None, exchange: Any
+    def _answer_for_point(
+        self,
+        kind: str,
+        sweep: Sweep,
+        point_number: int,
+        ended_sweep: sweep_records.EndedSweepRecord | None,
+        exchange: Any,
     ) -> None:
         users = self.users
         if kind == "submit" or kind.startswith("refuse:"):
-            why = f"the id belongs to point {k} of sweep {sweep.id}"
+            why = f"the id belongs to point {point_number} of sweep {sweep.id}"
             self._refuse(exchange, RequestRefused(422, why))
             return
-        if k >= sweep.size:
+        if point_number >= sweep.size:
             self._refuse(exchange, RequestRefused(404, f"sweep {sweep.id} has {sweep.size} points"))
             return
-        job_id = r.point_id(sweep.id, k)
-        number, offset = divmod(k, sweep.block_size)
+        job_id = sweep_records.point_id(sweep.id, point_number)
+        block_number, offset = divmod(point_number, sweep.block_size)
 
-        def tell(record: r.BlockRecord) -> None:
-            state, why = _state(sweep, k, offset, record, over)
+        def reply_state(record: sweep_records.BlockRecord) -> None:
+            state, why = _point_state(sweep, point_number, offset, record, ended_sweep)
             if state in (DONE, CANCELLED):
                 self.feature.remember_final_state(job_id, state)
-                self._final(kind, job_id, state, exchange)
-            elif state == MADE:
-                # It has a record of its own, which says how it ended.
+                self._reply_final_state(kind, job_id, state, exchange)
+            elif state == HAS_RECORD:
+                # The job has a record of its own, which holds its final state.
                 users.read_final_state(kind, job_id, exchange)
             elif state != PENDING:
-                # Never accepted as a job: it has no state.
-                self._refuse(exchange, RequestRefused(404, f"point {k} of sweep {sweep.id}: {why}"))
+                # The point was never accepted as a job, so it has no job state.
+                self._refuse(
+                    exchange,
+                    RequestRefused(404, f"point {point_number} of sweep {sweep.id}: {why}"),
+                )
             elif kind == "cancel":
-                self.feature.get_block(sweep, number).cancel_point(offset, exchange)
+                self.feature.get_block(sweep, block_number).cancel_point(offset, exchange)
             else:
                 users.reply(exchange, 200, JobStatus(job_id, PENDING, 0, 0))
 
-        self._block(sweep.id, number, exchange, tell)
+        self._read_block(sweep.id, block_number, exchange, reply_state)
 
-    def _describe(self, ask: IncomingRequest, job_id: str) -> None:
-        """A job's description, as its user would have uploaded it: for workers."""
+    def _describe_job(self, incoming: IncomingRequest, job_id: str) -> None:
+        """Answer a worker with a job's description, as a user would have uploaded it."""
         job = self.owner.jobs.get(job_id)
-        point = r.parse_point_id(job_id)
+        point = sweep_records.parse_point_id(job_id)
         if job is not None:
-            self.users.reply(ask.exchange, 200, job.spec)
+            self.users.reply(incoming.exchange, 200, job.spec)
             return
         if point is None:
             raise RequestRefused(404, "no job under way has this id")
         sweep = self.feature.sweeps.get(point[0])
         if sweep is not None:
-            self._describe_point(sweep, point[1], ask)
+            self._describe_point(sweep, point[1], incoming)
         else:
-            self._ended(
+            self._find_ended_sweep(
                 point[0],
-                ask.exchange,
-                lambda over: self._describe_point(self._as_sweep(over), point[1], ask),
+                incoming.exchange,
+                lambda ended_sweep: self._describe_point(
+                    self._rebuild_sweep(ended_sweep), point[1], incoming
+                ),
             )
 
-    def _describe_point(self, sweep: Sweep, k: int, ask: IncomingRequest) -> None:
-        spec = sweep.point_spec(k) if k < sweep.size else None
+    def _describe_point(self, sweep: Sweep, point_number: int, incoming: IncomingRequest) -> None:
+        spec = sweep.point_spec(point_number) if point_number < sweep.size else None
         if spec is None or isinstance(spec, str):
-            why = spec or f"sweep {sweep.id} has no point {k}"
-            self._refuse(ask.exchange, RequestRefused(404, why))
+            why = spec or f"sweep {sweep.id} has no point {point_number}"
+            self._refuse(incoming.exchange, RequestRefused(404, why))
         else:
-            self.users.reply(ask.exchange, 200, spec)
+            self.users.reply(incoming.exchange, 200, spec)
 
-    def _explain(self, ask: IncomingRequest, job_id: str) -> None:
-        """Why a point waits that is no job yet."""
-        point = r.parse_point_id(job_id)
+    def _explain_point(self, incoming: IncomingRequest, job_id: str) -> None:
+        """Explain why a point that is no job yet waits."""
+        point = sweep_records.parse_point_id(job_id)
         assert point is not None
         sweep = self.feature.sweeps.get(point[0])
         if sweep is None or point[1] >= sweep.size:
@@ -687,7 +751,7 @@
             raise RequestRefused(404, f"point {point[1]} can't run: {spec or 'it is left out'}")
         group = sweep.group_of(spec)
         ahead = group.claimable.bit_count() + (group.waiting & ((1 << point[1]) - 1)).bit_count()
-        told = Explanation(
+        answer = Explanation(
             job_id,
             *(spec.team, spec.kind, spec.priority),
             *(1, 0, 0),
@@ -697,144 +761,190 @@
             [f"about {ahead} points of its sweep come first"],
             self.owner.settings.node,
         )
-        self.users.reply(ask.exchange, 200, told)
+        self.users.reply(incoming.exchange, 200, answer)
 
-    def _points(self, ask: IncomingRequest, sweep_id: str, args: dict[str, str]) -> None:
-        """List points with their values and states, from a number on."""
+    def _points_page(
+        self, incoming: IncomingRequest, sweep_id: str, query_args: dict[str, str]
+    ) -> None:
+        """List points with their values and states, starting at a point number."""
         try:
-            first, most = int(args.get("from", "0")), int(args.get("most", "100"))
+            first, max_count = int(query_args.get("from", "0")), int(query_args.get("most", "100"))
         except ValueError:
             raise RequestRefused(400, "`from` and `most` must be whole numbers") from None
-        if first < 0 or not 1 <= most <= POINTS_MOST:
+        if first < 0 or not 1 <= max_count <= MAX_LISTED_POINT_COUNT:
             raise RequestRefused(
-                400, f"`from` must be at least 0 and `most` from 1 to {POINTS_MOST}"
+                400, f"`from` must be at least 0 and `most` from 1 to {MAX_LISTED_POINT_COUNT}"
             )
-        wanted = args.get("state")
+        wanted = query_args.get("state")
 
-        def read(good: bool) -> None:
-            if not good:
-                self.users.refuse_state_unavailable(ask.exchange)
+        def after_read(read_succeeded: bool) -> None:
+            if not read_succeeded:
+                self.users.refuse_state_unavailable(incoming.exchange)
                 return
             sweep = self.feature.sweeps.get(sweep_id)
             if sweep is not None:
-                self._list_points(sweep, None, first, most, wanted, ask)
+                self._list_points(sweep, None, first, max_count, wanted, incoming)
             else:
-                self._ended(
+                self._find_ended_sweep(
                     sweep_id,
-                    ask.exchange,
-                    lambda over: self._list_points(
-                        self._as_sweep(over), over, first, most, wanted, ask
+                    incoming.exchange,
+                    lambda ended_sweep: self._list_points(
+                        self._rebuild_sweep(ended_sweep),
+                        ended_sweep,
+                        first,
+                        max_count,
+                        wanted,
+                        incoming,
                     ),
                 )
 
-        self.users.call_after_read(read)
+        self.users.call_after_read(after_read)
 
     def _list_points(
         self,
         sweep: Sweep,
-        over: r.EndedSweepRecord | None,
+        ended_sweep: sweep_records.EndedSweepRecord | None,
         first: int,
-        most: int,
+        max_count: int,
         wanted: str | None,
-        ask: IncomingRequest,
+        incoming: IncomingRequest,
     ) -> None:
-        told: list[dict[str, Any]] = []
+        answer: list[dict[str, Any]] = []
 
-        def block(number: int) -> None:
-            # A bounded stretch at a time: the asker goes on from `next`.
-            if number >= sweep.block_count or number >= first // sweep.block_size + 32:
-                end = number * sweep.block_size
+        def read_block(block_number: int) -> None:
+            # Each answer covers a bounded number of blocks; the client continues from `next`.
+            if block_number >= sweep.block_count or block_number >= first // sweep.block_size + 32:
+                end = block_number * sweep.block_size
                 more = end if end < sweep.size else None
-                self.users.reply(ask.exchange, 200, {"points": told, "next": more})
+                self.users.reply(incoming.exchange, 200, {"points": answer, "next": more})
                 return
-            self._block(sweep.id, number, ask.exchange, lambda record: fill(number, record))
+            self._read_block(
+                sweep.id,
+                block_number,
+                incoming.exchange,
+                lambda record: add_points(block_number, record),
+            )
 
-        def fill(number: int, record: r.BlockRecord) -> None:
-            begin = number * sweep.block_size
-            for k in range(max(first, begin), min(begin + sweep.block_size, sweep.size)):
-                state, why = _state(sweep, k, k - begin, record, over)
-                job = self.owner.jobs.get(r.point_id(sweep.id, k))
+        def add_points(block_number: int, record: sweep_records.BlockRecord) -> None:
+            block_start = block_number * sweep.block_size
+            for point_number in range(
+                max(first, block_start), min(block_start + sweep.block_size, sweep.size)
+            ):
+                state, why = _point_state(
+                    sweep, point_number, point_number - block_start, record, ended_sweep
+                )
+                job = self.owner.jobs.get(sweep_records.point_id(sweep.id, point_number))
                 if job is not None and any(p.state == "running" for p in job.placed.values()):
                     state = RUNNING
-                elif state == MADE:
+                elif state == HAS_RECORD:
                     state = PENDING if job is not None else "ending"
                 if wanted not in (None, state):
                     continue
-                if len(told) == most:
-                    self.users.reply(ask.exchange, 200, {"points": told, "next": k})
+                if len(answer) == max_count:
+                    self.users.reply(
+                        incoming.exchange, 200, {"points": answer, "next": point_number}
+                    )
                     return
-                entry = {"point": k, "job": r.point_id(sweep.id, k), "state": state}
-                told.append(
-                    {**entry, "values": sweep.point_values(k), **({"why": why} if why else {})}
+                entry = {
+                    "point": point_number,
+                    "job": sweep_records.point_id(sweep.id, point_number),
+                    "state": state,
+                }
+                answer.append(
+                    {
+                        **entry,
+                        "values": sweep.point_values(point_number),
+                        **({"why": why} if why else {}),
+                    }
                 )
-            block(number + 1)
+            read_block(block_number + 1)
 
-        block(first // sweep.block_size)
+        read_block(first // sweep.block_size)
 
-    def _retry(self, ask: IncomingRequest, sweep_id: str) -> None:
-        """A new sweep of the points that failed, or were cancelled, in another."""
-        request: RetryRequest = decode_request(ask.body, RetryRequest)
+    def _retry_sweep(self, incoming: IncomingRequest, sweep_id: str) -> None:
+        """Submit a new sweep of the points that failed, or were cancelled, in another sweep."""
+        request: RetryRequest = decode_request(incoming.body, RetryRequest)
         check_sweep_id(request.id)
 
-        def read(good: bool) -> None:
+        def after_read(read_succeeded: bool) -> None:
             sweep = self.feature.sweeps.get(sweep_id)
-            if not good:
-                self.users.refuse_state_unavailable(ask.exchange)
+            if not read_succeeded:
+                self.users.refuse_state_unavailable(incoming.exchange)
             elif sweep is not None:
-                self._collect(sweep, None, request, ask)
+                self._collect_retry_points(sweep, None, request, incoming)
             else:
-                self._ended(
+                self._find_ended_sweep(
                     sweep_id,
-                    ask.exchange,
-                    lambda over: self._collect(self._as_sweep(over), over, request, ask),
+                    incoming.exchange,
+                    lambda ended_sweep: self._collect_retry_points(
+                        self._rebuild_sweep(ended_sweep), ended_sweep, request, incoming
+                    ),
                 )
 
-        self.users.call_after_read(read)
+        self.users.call_after_read(after_read)
 
-    def _collect(
+    def _collect_retry_points(
         self,
         sweep: Sweep,
-        over: r.EndedSweepRecord | None,
+        ended_sweep: sweep_records.EndedSweepRecord | None,
         request: RetryRequest,
-        ask: IncomingRequest,
+        incoming: IncomingRequest,
     ) -> None:
-        """Read the blocks one after the other, and begin a sweep of what is found."""
-        found = 0
-
-        def block(number: int) -> None:
-            if number < sweep.block_count:
-                self._block(sweep.id, number, ask.exchange, lambda record: take(number, record))
+        """Read the blocks one by one and start a sweep of the points in the requested states."""
+        retry_points = 0
+
+        def read_block(block_number: int) -> None:
+            if block_number < sweep.block_count:
+                self._read_block(
+                    sweep.id,
+                    block_number,
+                    incoming.exchange,
+                    lambda record: add_retry_points(block_number, record),
+                )
                 return
-            if not found:
+            if not retry_points:
                 states = " or ".join(request.states)
                 refused = RequestRefused(422, f"no point of sweep {sweep.id} is {states}")
-                self._refuse(ask.exchange, refused)
+                self._refuse(incoming.exchange, refused)
                 return
             record = sweep.record
-            again = SweepRequest(request.id, "again", "again", None, None, None, record.values)
-            self._guarded(
-                ask.exchange,
-                lambda: self._begin(again, record.template, record.space, ask.exchange, found),
+            retry_request = SweepRequest(
+                request.id, "again", "again", None, None, None, record.values
+            )
+            self._refuse_on_error(
+                incoming.exchange,
+                lambda: self._start_sweep(
+                    retry_request, record.template, record.space, incoming.exchange, retry_points
+                ),
             )
 
-        def take(number: int, record: r.BlockRecord) -> None:
-            nonlocal found
-            begin = number * sweep.block_size
-            for k in range(begin, min(begin + sweep.block_size, sweep.size)):
-                state, _ = _state(sweep, k, k - begin, record, over)
-                told = "cancelled" if state == CANCELLED else state
-                if told in request.states:
-                    found |= 1 << k
-            block(number + 1)
+        def add_retry_points(block_number: int, record: sweep_records.BlockRecord) -> None:
+            nonlocal retry_points
+            block_start = block_number * sweep.block_size
+            for point_number in range(block_start, min(block_start + sweep.block_size, sweep.size)):
+                state, _ = _point_state(
+                    sweep, point_number, point_number - block_start, record, ended_sweep
+                )
+                requested_state = "cancelled" if state == CANCELLED else state
+                if requested_state in request.states:
+                    retry_points |= 1 << point_number
+            read_block(block_number + 1)
 
-        block(0)
+        read_block(0)
 
 
-def _state(
-    sweep: Sweep, k: int, offset: int, record: r.BlockRecord, over: r.EndedSweepRecord | None
+def _point_state(
+    sweep: Sweep,
+    point_number: int,
+    offset: int,
+    record: sweep_records.BlockRecord,
+    ended_sweep: sweep_records.EndedSweepRecord | None,
 ) -> tuple[str, str]:
-    """A point's state by its block's record, and why: `left_out` and `failed` beside a job's."""
-    sets = decoded_block(record, sweep.block_size)
+    """Return a point's state by its block's record, and the reason for it.
+
+    Beside the states of a job there are `left_out` and `failed`.
+    """
+    sets = decode_block(record, sweep.block_size)
     if sets.done >> offset & 1:
         return DONE, ""
     if sets.cancelled >> offset & 1:
@@ -842,18 +952,18 @@
     if offset in sets.failed:
         return "failed", sets.failed[offset]
     if sets.made >> offset & 1:
-        return MADE, ""
-    if sweep.point_values(k) is None:
+        return HAS_RECORD, ""
+    if sweep.point_values(point_number) is None:
         return "left_out", "the filter leaves it out"
-    if over is not None and over.state == CANCELLED:
+    if ended_sweep is not None and ended_sweep.state == CANCELLED:
         return CANCELLED, ""
     return PENDING, ""
 
 
-def _reasons(failures: list[tuple[int, str]]) -> list[dict[str, Any]]:
-    """Why points failed, the reason of most first: how many share it, and the first few of them."""
-    alike: dict[str, list[int]] = {}
+def _group_reasons(failures: list[tuple[int, str]]) -> list[dict[str, Any]]:
+    """Group failures by reason, most frequent first, with the count and the first few points."""
+    points_by_reason: dict[str, list[int]] = {}
     for point, why in failures:
-        alike.setdefault(why, []).append(point)
-    ranked = sorted(alike.items(), key=lambda pair: (-len(pair[1]), pair[1][0]))
-    return [{"why": why, "points": len(some), "first": some[:5]} for why, some in ranked[:20]]
+        points_by_reason.setdefault(why, []).append(point)
+    ranked = sorted(points_by_reason.items(), key=lambda pair: (-len(pair[1]), pair[1][0]))
+    return [{"why": why, "points": len(points), "first": points[:5]} for why, points in ranked[:20]]
