--- a/sagecove/sweeps/commands.py
+++ b/sagecove/sweeps/commands.py
@@ -281,7 +281,9 @@
     )
     found = differences(old, new)
     answer = {"old": old.version, "new": new.version, "differences": found}
-    return _print(args, answer, found or [f"versions {old.version} and {new.version} are alike"])
+    return _print(
+        args, answer, found or [f"versions {old.version} and {new.version} are identical"]
+    )
 
 
 def _template_submit(args: argparse.Namespace) -> int:
--- a/sagecove/sweeps/parameter_space.py
+++ b/sagecove/sweeps/parameter_space.py
@@ -73,9 +73,9 @@
     def count(self) -> int:
         """Return the number of values."""
         if self.number < 1:
-            raise SpaceError("a spread needs at least one value")
+            raise SpaceError("lin and log need at least one value")
         if self.log and (self.first <= 0 or self.last <= 0):
-            raise SpaceError("a logarithmic range runs between numbers above 0")
+            raise SpaceError("both ends of a logarithmic range must be above 0")
         return self.number
 
     def value_at(self, index: int) -> Value:
@@ -266,7 +266,7 @@
         if names.count(name) > 1:
             raise SpaceError(f"{name} is bound twice")
         if name in (INDEX_PARAMETER, REPETITION_PARAMETER):
-            raise SpaceError(f"{name} is what every point has already: choose another name")
+            raise SpaceError(f"{name} is a reserved name: choose another one")
     if space.repeat < 1:
         raise SpaceError("repeat must be at least 1")
     if space.sample is not None and space.sample < 1:
--- a/sagecove/sweeps/routes.py
+++ b/sagecove/sweeps/routes.py
@@ -273,7 +273,9 @@
                     answer = {"name": template.name, "version": newest + 1}
                     self.users.reply(incoming.exchange, 201, answer)
                 elif result.outcome is Outcome.CONFLICT:
-                    self.users.refuse_for_now(incoming.exchange, "another version came in between")
+                    self.users.refuse_for_now(
+                        incoming.exchange, "another version was stored meanwhile"
+                    )
                 else:
                     self.users.refuse_state_unavailable(incoming.exchange)
 
@@ -287,7 +289,7 @@
         """Submit a single job rendered from a template."""
         request: JobRequest = decode_request(incoming.body, JobRequest)
         if not JOB_ID_PATTERN.match(request.nameId):
-            raise RequestRefused(400, "`nameId` has not the form of a job's id")
+            raise RequestRefused(400, "`nameId` is not a valid job id")
 
         def on_template(template: sweep_records.Template) -> None:
             compiled = CompiledTemplate(template)
--- a/sagecove/sweeps/template.py
+++ b/sagecove/sweeps/template.py
@@ -113,9 +113,9 @@
         names = [p.name for p in self.template.parameters]
         for name in names:
             if names.count(name) > 1:
-                raise TemplateError(f"parameter {name} is there twice")
+                raise TemplateError(f"parameter {name} is defined twice")
             if name in (INDEX_PARAMETER, REPETITION_PARAMETER):
-                raise TemplateError(f"parameter {name}: every point has that already")
+                raise TemplateError(f"parameter {name}: the name is reserved")
         for parameter in self.template.parameters:
             if parameter.default is not None and not accepts_value(parameter, parameter.default):
                 raise TemplateError(
@@ -130,7 +130,7 @@
                     )
         for field in self.template.job:
             if field == ID_FIELD:
-                raise TemplateError(f"job: {ID_FIELD} is not the template's to give")
+                raise TemplateError(f"job: {ID_FIELD} can't be set by a template")
             if field not in JOB_FIELDS:
                 raise TemplateError(f"job: there is no field {field}")
         for name in sorted(
