--- a/sagecove/sweeps/__init__.py
+++ b/sagecove/sweeps/__init__.py
@@ -1,1 +1,1 @@
-"""Templates filled with parameters, and sweeps that expand into many jobs, counted alike."""
+"""Job templates with parameters, and sweeps: one job for each point of a parameter space."""
--- a/sagecove/sweeps/admission.py
+++ b/sagecove/sweeps/admission.py
@@ -1,7 +1,7 @@
-"""What may become a template or a sweep: everything that can be told before anything is written.
+"""Validates templates and sweeps before anything is written.
 
-Nothing is accepted by halves: a submission is one write, or it is refused with the place and what
-was allowed.
+A submission is accepted as a whole, in one write, or refused with the place of the error and what
+is allowed there.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from sagecove.sweeps.records import SWEEP_ID_PATTERN, Parameter, SweepRecord, Template
 from sagecove.sweeps.template import CompiledTemplate, TemplateError
 
-# Points in a block: the more, the fewer writes; the fewer, the less controllers get in each
-# other's way. Each controller is to have several blocks of its own even of a small sweep.
-BLOCK_MOST, BLOCK_LEAST = 64, 8
-BLOCKS_EACH = 8
+# Points in a block: larger blocks need fewer writes, smaller blocks cause fewer conflicts between
+# controllers. Even of a small sweep each controller gets several blocks of its own.
+MAX_BLOCK_POINT_COUNT, MIN_BLOCK_POINT_COUNT = 64, 8
+BLOCKS_PER_CONTROLLER_COUNT = 8
 
 
 class RequestRefused(Exception):
-    """A request that can't be granted: HTTP status and the reason."""
+    """A user's request is refused; carries the HTTP status and the reason."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -39,7 +39,7 @@
 
 
 class SweepRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """A sweep as submitted: a template by name (and version, else the newest) or a job inline."""
+    """A submitted sweep: names a template (by default its newest version) or contains a job."""
 
     id: str
     space: Annotated[str, msgspec.Meta(min_length=1)]
@@ -51,7 +51,7 @@
 
 
 class RetryRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """A new sweep of the points of another that ended so."""
+    """A request for a new sweep of another sweep's points that ended in the given states."""
 
     id: str
     states: list[Annotated[str, msgspec.Meta(pattern=r"^(failed|cancelled)\Z")]] = msgspec.field(
@@ -60,7 +60,7 @@
 
 
 class JobRequest(msgspec.Struct, forbid_unknown_fields=True):
-    """A single job of a template."""
+    """A request for a single job of a template."""
 
     nameId: str
     version: int | None = None
@@ -68,7 +68,7 @@
 
 
 def decode_request(body: bytes, kind: Any) -> Any:
-    """A request's body, or `Refused` with 400."""
+    """Decodes a request's body; raises `RequestRefused` with 400 if it is invalid."""
     try:
         return msgspec.json.decode(body, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
@@ -76,7 +76,7 @@
 
 
 def decode_sweep_request(body: bytes) -> SweepRequest:
-    """A submission that is in form: `Refused` with 400 otherwise."""
+    """Decodes the submission of a sweep; raises `RequestRefused` with 400 if it is malformed."""
     request: SweepRequest = decode_request(body, SweepRequest)
     check_sweep_id(request.id)
     if (request.template is None) == (request.job is None):
@@ -89,7 +89,8 @@
 
 
 def check_sweep_id(sweep_id: str) -> None:
-    """A sweep's id has a job's form, with room for a point's number."""
+    """Raises `RequestRefused` with 400 unless the id is a valid job id that leaves room for the
+    number of a point."""
     if not SWEEP_ID_PATTERN.match(sweep_id):
         raise RequestRefused(
             400, "`id` must be `run-` and 1 to 90 letters, digits, `_`, `.` or `-`"
@@ -97,7 +98,7 @@
 
 
 def requested_space(text: str, most: int) -> Space:
-    """The space an expression stands for; `Refused` names the place."""
+    """Parses the expression of a space; raises `RequestRefused` with the place of an error."""
     try:
         space = parse_space(text)
     except GrammarError as error:
@@ -110,7 +111,7 @@
 
 
 def check_template(template: Template, limit: float) -> None:
-    """Whether a template may be kept: `Refused` with 422, or 413 if it is over `limit` bytes."""
+    """Raises `RequestRefused` if a template is invalid (422) or longer than `limit` bytes (413)."""
     if len(msgspec.json.encode(template)) > limit:
         raise RequestRefused(413, f"the template is longer than {limit:.0f} bytes")
     try:
@@ -120,28 +121,30 @@
 
 
 def inline_template(request: SweepRequest, space: Space) -> Template:
-    """The template that a job written into the submission stands for; parameters that are not
-    described are taken from the space's values."""
+    """Builds the template for a job given in the submission itself; the kinds of parameters that
+    it does not describe are derived from their values."""
     assert request.job is not None
-    given = request.parameters or []
-    known = {p.name for p in given}
-    found = [Parameter(axis.name, _kind(axis)) for axis in _axes(space.node)]
-    found += [Parameter(name, _kind_of([value])) for name, value in request.values.items()]
-    return Template("inline", [*given, *(p for p in found if p.name not in known)], request.job)
+    described = request.parameters or []
+    known = {p.name for p in described}
+    found = [Parameter(axis.name, _kind_of_axis(axis)) for axis in _axes(space.node)]
+    found += [Parameter(name, _kind_of_values([value])) for name, value in request.values.items()]
+    return Template("inline", [*described, *(p for p in found if p.name not in known)], request.job)
 
 
 def _axes(node: Node) -> list[Axis]:
     return [node] if isinstance(node, Axis) else [a for part in node.parts for a in _axes(part)]
 
 
-def _kind(axis: Axis) -> str:
+def _kind_of_axis(axis: Axis) -> str:
     source = axis.source
     if isinstance(source, ValueList):
-        return _kind_of(source.values)
-    return _kind_of([source.value_at(k) for k in {0, source.count() // 2, source.count() - 1}])
+        return _kind_of_values(source.values)
+    return _kind_of_values(
+        [source.value_at(k) for k in {0, source.count() // 2, source.count() - 1}]
+    )
 
 
-def _kind_of(values: list[Value]) -> str:
+def _kind_of_values(values: list[Value]) -> str:
     if all(isinstance(v, bool) for v in values):
         return "flag"
     if all(isinstance(v, int) and not isinstance(v, bool) for v in values):
@@ -160,7 +163,8 @@
     limit: float,
     only: int = 0,
 ) -> SweepRecord:
-    """The record of a sweep that may begin; `Refused` otherwise. `limit`: bytes it may have."""
+    """Checks a submission against its template and builds the sweep's record, of at most `limit`
+    bytes; raises `RequestRefused` if the sweep is not acceptable."""
     form = CompiledTemplate(template)
     if request.job is not None:
         check_template(template, limit)
@@ -180,7 +184,10 @@
             raise RequestRefused(
                 422, f"{form.title}, parameter {name}: not given, and it has no default"
             )
-    block = max(BLOCK_LEAST, min(BLOCK_MOST, space.count() // (BLOCKS_EACH * nodes)))
+    block = max(
+        MIN_BLOCK_POINT_COUNT,
+        min(MAX_BLOCK_POINT_COUNT, space.count() // (BLOCKS_PER_CONTROLLER_COUNT * nodes)),
+    )
     record = SweepRecord(
         request.id, at, template, space, request.values, block, taskset.encode(only)
     )
--- a/sagecove/sweeps/blocks.py
+++ b/sagecove/sweeps/blocks.py
@@ -1,9 +1,10 @@
-"""Blocks: ranges of a sweep's points, claimed, given back and finished in one write for many.
+"""Reads and writes blocks: ranges of a sweep's points whose claims and states share one record.
 
-The core decides for each point as for any job. What it decides in a pass is gathered by block and
-written together, on three conditions: the block is as it was, the shard is held under this term,
-the sweep is alive. So a claim lost, a holder replaced and a sweep cancelled meanwhile all make the
-write fail as a whole, and the next pass starts from what is then known.
+The scheduling core decides on each point as on any job. The decisions of a pass are collected by
+block and written in one transaction, on three conditions: the block's record is unchanged, the
+shard is held under the same term, and the sweep is live. If a claim was lost, the holder replaced
+or the sweep cancelled in the meantime, the whole transaction fails, and the next pass starts from
+the state known by then.
 """
 
 from __future__ import annotations
@@ -34,17 +35,21 @@
 
 log = logging.getLogger("sagecove.sweeps")
 
-# A point that is done waits so long for others of its block to be written with it: PROTOCOL gives
-# 3 s until its user expects to be told.
+# How long a completed point waits to be written together with others of its block. PROTOCOL allows
+# 3 s until users see the completion.
 DONE_WAIT_S = 1.0
 
 
 class Block:
-    """A block of a live sweep, and the home of its points' jobs."""
+    """A block of a live sweep; keeps the durable state of the jobs of its points.
 
-    def __init__(self, feature: SweepManager, sweep: Sweep, number: int) -> None:
-        self.feature = feature
-        self.owner = feature.owner
+    Points are numbered from the first point of the block. Sets of points are integers with one
+    bit per point.
+    """
+
+    def __init__(self, manager: SweepManager, sweep: Sweep, number: int) -> None:
+        self.manager = manager
+        self.owner = manager.owner
         self.sweep = sweep
         self.number = number
         self.first_point = number * sweep.block_size
@@ -54,32 +59,32 @@
         self.claims: dict[str, int] = {}
         self.done = 0
         self.cancelled = 0
-        # Points with records of their own that are not known to be over.
-        self.made = 0
+        # Points with job records of their own that are not known to have ended.
+        self.with_job_record = 0
         self.failure_reasons: dict[int, str] = {}
-        # Left out by the filter: known once the block has been looked through.
+        # Points that the sweep's filter excludes; complete once the block is scanned.
         self.left_out = 0
         self.scanned = False
-        self.over_since: float | None = None
-        # What the core has decided and is to be written: number to job and shard.
+        self.complete_since: float | None = None
+        # Decisions of the core that are not written yet: point to job and shard.
         self.claiming: dict[int, tuple[JobRun, Shard]] = {}
-        self.giving: dict[int, tuple[JobRun, Shard]] = {}
+        self.releasing: dict[int, tuple[JobRun, Shard]] = {}
         self.finishing: dict[int, tuple[JobRun, Shard]] = {}
-        # Points found bad, to be written: number to reason; and since when.
-        self.bad: dict[int, str] = {}
-        self.bad_at = 0.0
-        # Points that had records of their own and are over: number to state.
-        self.endings: dict[int, str] = {}
-        self.due = 0.0
-        self.busy = False
-        # What is in doubt, to be written once more with the next pass.
-        self.again: Callable[[], None] | None = None
-
-    # -- the record -----------------------------------------------------------------------------
+        # Points found unable to run that are not written yet, with the reason; and when found.
+        self.unwritten_failures: dict[int, str] = {}
+        self.failure_found_at = 0.0
+        # Final states, not written yet, of points that had job records of their own.
+        self.unwritten_ends: dict[int, str] = {}
+        self.write_due_at = 0.0
+        self.write_open = False
+        # Repeats, in the next pass, a write whose outcome is unknown.
+        self.repeat_write: Callable[[], None] | None = None
+
+    # -- record -----------------------------------------------------------------------------------
 
     @property
-    def over(self) -> int:
-        """Points that are over."""
+    def ended_points(self) -> int:
+        """Points that have ended."""
         bits = self.done | self.cancelled
         for k in self.failure_reasons:
             bits |= 1 << k
@@ -87,131 +92,132 @@
 
     @property
     def claimed(self) -> int:
-        """Points that some shard has claimed."""
+        """Points that any shard has claimed."""
         bits = 0
-        for some in self.claims.values():
-            bits |= some
+        for shard_claims in self.claims.values():
+            bits |= shard_claims
         return bits
 
     @property
     def complete(self) -> bool:
-        """All points are over, or left out."""
-        return self.scanned and (self.over | self.left_out) == taskset.full(self.size)
+        """Whether all points have ended or are excluded by the filter."""
+        return self.scanned and (self.ended_points | self.left_out) == taskset.full(self.size)
 
     def record(self) -> BlockRecord:
-        """The record as it stands."""
+        """Builds the block's record from the current state."""
         return BlockRecord(
             {s: taskset.encode(bits) for s, bits in self.claims.items() if bits},
             taskset.encode(self.done),
             taskset.encode(self.cancelled),
-            taskset.encode(self.made),
+            taskset.encode(self.with_job_record),
             {str(k): why for k, why in self.failure_reasons.items()},
         )
 
-    def update(self, record: BlockRecord, stamp: int) -> None:
-        """Take over a newer record: points are claimed, given back, over."""
+    def apply_record(self, record: BlockRecord, stamp: int) -> None:
+        """Applies a newer record: points become claimed, released or ended."""
         owner, sweep = self.owner, self.sweep
-        before_over, before, gone = self.over, self.claims, self.claimed
+        ended_before, claims_before, released = self.ended_points, self.claims, self.claimed
         self.stamp = stamp
         sets = decode_block(record, self.size)
         self.claims, self.done, self.cancelled, self.failure_reasons = (
             *(sets.claims, sets.done, sets.cancelled, sets.failed),
         )
-        for k in members(sets.made & ~self.made):
-            sweep.forget(self.first_point + k)
-        self.made = sets.made
-        over = self.over
-        for k in members(over & ~before_over):
-            sweep.forget(self.first_point + k)
+        for k in members(sets.made & ~self.with_job_record):
+            sweep.remove_unclaimed(self.first_point + k)
+        self.with_job_record = sets.made
+        ended = self.ended_points
+        for k in members(ended & ~ended_before):
+            sweep.remove_unclaimed(self.first_point + k)
             job_id = point_id(sweep.id, self.first_point + k)
             job = owner.jobs.get(job_id)
             if job is not None:
                 owner.job_over(job)
             if self.done >> k & 1:
-                self.feature.remember_final_state(job_id, DONE)
+                self.manager.remember_final_state(job_id, DONE)
             elif self.cancelled >> k & 1:
-                self.feature.remember_final_state(job_id, CANCELLED)
-        gone &= ~self.claimed
+                self.manager.remember_final_state(job_id, CANCELLED)
+        released &= ~self.claimed
         for shard, bits in self.claims.items():
-            for k in members(bits & ~before.get(shard, 0) & ~over):
-                self._claimed(k, shard)
-        for k in members(gone & ~over):
-            self._given_back(k)
-        self.note_complete()
-
-    def note_complete(self) -> None:
-        """Something was learned of the block: is it over by now?"""
+            for k in members(bits & ~claims_before.get(shard, 0) & ~ended):
+                self._apply_claim(k, shard)
+        for k in members(released & ~ended):
+            self._apply_release(k)
+        self.update_complete()
+
+    def update_complete(self) -> None:
+        """Adds the block to the sweep's complete blocks if all of its points have ended."""
         if self.complete:
-            self.sweep.complete.setdefault(self.number, self)
+            self.sweep.complete_blocks.setdefault(self.number, self)
 
-    def _run(self, k: int) -> JobRun | None:
-        """The job of a point, made if it is not there yet."""
+    def _find_or_create_job(self, k: int) -> JobRun | None:
+        """Returns the job of a point and creates it if needed; None if the point has no job."""
         job_id = point_id(self.sweep.id, self.first_point + k)
         job = self.owner.jobs.get(job_id)
         if job is None:
             spec = self.sweep.point_spec(self.first_point + k)
             if spec is None or isinstance(spec, str):
                 return None
-            job = JobRun(JobRecord(spec, self.sweep.at(self.first_point + k)), self.stamp)
+            job = JobRun(JobRecord(spec, self.sweep.submitted_at(self.first_point + k)), self.stamp)
             job.durable_state = self
             self.owner.job_seen(job)
         return job
 
-    def _claimed(self, k: int, shard: str) -> None:
-        job = self._run(k)
-        self.sweep.forget(self.first_point + k)
+    def _apply_claim(self, k: int, shard: str) -> None:
+        job = self._find_or_create_job(k)
+        self.sweep.remove_unclaimed(self.first_point + k)
         if job is not None:
             job.apply_record(JobRecord(job.spec, job.submitted_at, {shard: "0"}), self.stamp)
             self.owner.backlog.reclassify(job)
             self.owner.ledger.update_claims(job)
 
-    def _given_back(self, k: int) -> None:
-        job = self._run(k)
+    def _apply_release(self, k: int) -> None:
+        job = self._find_or_create_job(k)
         if job is not None:
             job.apply_record(JobRecord(job.spec, job.submitted_at), self.stamp)
             self.owner.backlog.reclassify(job)
             self.owner.ledger.update_claims(job)
             self.sweep.group_of(job.spec).claimable |= 1 << (self.first_point + k)
 
-    def open(self, k: int) -> None:
-        """A waiting point becomes a job that may be claimed."""
-        job = self._run(k)
+    def make_claimable(self, k: int) -> None:
+        """Turns a waiting point into a job that may be claimed."""
+        job = self._find_or_create_job(k)
         bit = 1 << (self.first_point + k)
         if job is not None:
             group = self.sweep.group_of(job.spec)
             group.waiting &= ~bit
             group.claimable |= bit
 
-    # -- what the core decides ------------------------------------------------------------------
+    # -- decisions of the core --------------------------------------------------------------------
 
-    def _number(self, job: JobRun) -> int:
+    def _point_of(self, job: JobRun) -> int:
         return int(job.id.rpartition(".p")[2]) - self.first_point
 
     def write_claim(self, job: JobRun, shard: Shard, bits: int) -> None:
-        """Claim a point, see `ports.Home`."""
-        self.claiming[self._number(job)] = (job, shard)
-        self.feature.touched[self.key] = self
+        """Queues the claim of a point; see `DurableState`."""
+        self.claiming[self._point_of(job)] = (job, shard)
+        self.manager.blocks_to_write[self.key] = self
 
     def write_release(self, job: JobRun, shard: Shard, bits: int) -> None:
-        """Give a point back."""
+        """Queues the release of a point's claim."""
         job.committing = True
-        self.giving[self._number(job)] = (job, shard)
-        self.feature.touched[self.key] = self
+        self.releasing[self._point_of(job)] = (job, shard)
+        self.manager.blocks_to_write[self.key] = self
 
     def write_finished(self, job: JobRun, shard: Shard) -> None:
-        """A point has completed."""
+        """Queues the completion of a point."""
         job.committing = True
         if not self.finishing:
-            self.due = self.owner.now + DONE_WAIT_S
-        self.finishing[self._number(job)] = (job, shard)
-        self.feature.touched[self.key] = self
+            self.write_due_at = self.owner.now + DONE_WAIT_S
+        self.finishing[self._point_of(job)] = (job, shard)
+        self.manager.blocks_to_write[self.key] = self
 
     def cancel(self, job: JobRun, exchange: Any) -> None:
-        """Cancel a point."""
-        self.cancel_point(self._number(job), exchange)
+        """Cancels the point of a job."""
+        self.cancel_point(self._point_of(job), exchange)
 
     def cancel_point(self, k: int, exchange: Any) -> None:
-        """Cancel a point, a job here or not, and answer its user once that is durable."""
+        """Cancels a point, whether or not it is a job on this controller, and answers the user once
+        the cancellation is durable."""
         owner, users = self.owner, self.owner.users
         job_id = point_id(self.sweep.id, self.first_point + k)
         record = self.record()
@@ -223,7 +229,8 @@
 
         def done(result: Result) -> None:
             if result.outcome is Outcome.DONE:
-                # Promises in an outage rest on who knows of which cancellation.
+                # Promises made during an outage depend on which controllers know of which
+                # cancellations.
                 owner.cancellations.raise_floor(result.revision)
                 owner.peers.announce_cancellation(job_id)
                 log.info("cancelled job=%s", job_id)
@@ -233,142 +240,164 @@
             else:
                 users.refuse_state_unavailable(exchange)
 
-        conditions = [*self._unchanged(), (SWEEP_PREFIX + self.sweep.id, self.sweep.stamp)]
+        conditions = [
+            *self._unchanged_conditions(),
+            (SWEEP_PREFIX + self.sweep.id, self.sweep.stamp),
+        ]
         owner.commit(conditions, [wire.Put(self.key, record)], done, urgent=True)
 
-    # -- points with records of their own -----------------------------------------------------
+    # -- points with job records of their own -----------------------------------------------------
 
-    def make(self, points: list[int], shard: Shard) -> None:
-        """Write records for points of more than one task: from then on they are jobs as if their
-        user had sent them alone, at the time of the sweep."""
+    def create_job_records(self, points: list[int], shard: Shard) -> None:
+        """Writes job records for points of more than one task. From then on they are handled like
+        jobs that the user submitted singly at the time of the sweep."""
         sweep = self.sweep
         record = self.record()
-        made = self.made
+        made = self.with_job_record
         jobs: list[wire.Put | wire.Delete] = []
-        conditions = self._conditions(shard)
+        conditions = self._write_conditions(shard)
         for k in points:
             spec = sweep.point_spec(self.first_point + k)
             if spec is None or isinstance(spec, str):
                 continue
             made |= 1 << k
-            job = JobRecord(spec, sweep.at(self.first_point + k), sweep=sweep.id)
+            job = JobRecord(spec, sweep.submitted_at(self.first_point + k), sweep=sweep.id)
             jobs.append(wire.Put(JOB_PREFIX + spec.id, job))
             conditions += [(JOB_PREFIX + spec.id, 0), (FINAL_STATE_PREFIX + spec.id, 0)]
         record.made = taskset.encode(made)
         self._commit(shard, conditions, [wire.Put(self.key, record), *jobs], [], [])
 
-    def ended(self, k: int, state: str) -> None:
-        """A point with a record of its own is known to be over."""
-        if not self.endings and not self.finishing:
-            self.due = self.owner.now + DONE_WAIT_S
-        self.endings[k] = state
-        self.feature.touched[self.key] = self
-
-    def _write_endings(self, now: float, acting: dict[str, Shard]) -> bool:
-        """Write down which points are over that had records of their own; True if there is more
-        to do."""
-        self.endings = {k: state for k, state in self.endings.items() if self.made >> k & 1}
-        if not self.endings:
+    def note_final_state(self, k: int, state: str) -> None:
+        """Notes the final state of a point that has a job record of its own."""
+        if not self.unwritten_ends and not self.finishing:
+            self.write_due_at = self.owner.now + DONE_WAIT_S
+        self.unwritten_ends[k] = state
+        self.manager.blocks_to_write[self.key] = self
+
+    def _write_ends(self, now: float, active_shards: dict[str, Shard]) -> bool:
+        """Writes the final states of points that had job records of their own; returns whether
+        there may be more to write."""
+        self.unwritten_ends = {
+            k: state for k, state in self.unwritten_ends.items() if self.with_job_record >> k & 1
+        }
+        if not self.unwritten_ends:
             return False
-        shard = acting.get(self.owner.settings.node)
-        if shard is None or now < self.due:
+        shard = active_shards.get(self.owner.settings.node)
+        if shard is None or now < self.write_due_at:
             return True
         record = self.record()
         sets = {DONE: self.done, CANCELLED: self.cancelled}
-        made = self.made
-        for k, state in self.endings.items():
+        made = self.with_job_record
+        for k, state in self.unwritten_ends.items():
             made &= ~(1 << k)
             sets[state] |= 1 << k
         record.made = taskset.encode(made)
         record.done, record.cancelled = taskset.encode(sets[DONE]), taskset.encode(sets[CANCELLED])
-        self._commit(shard, self._conditions(shard), [wire.Put(self.key, record)], [], [])
+        self._commit(shard, self._write_conditions(shard), [wire.Put(self.key, record)], [], [])
         return True
 
-    def _conditions(self, shard: Shard) -> list[tuple[str, int]]:
-        """The block is as it was, the shard is held under this term, the sweep is alive."""
+    def _write_conditions(self, shard: Shard) -> list[tuple[str, int]]:
+        """Conditions of a write: the block is unchanged, the shard is held under this term, the
+        sweep is live."""
         return [
-            *self._unchanged(),
+            *self._unchanged_conditions(),
             (HOLDER_PREFIX + shard.name, shard.term),
             (SWEEP_PREFIX + self.sweep.id, self.sweep.stamp),
         ]
 
-    def _unchanged(self) -> list[tuple[str, int]]:
-        """The block is as it was. One that had never been written is absent again once it is over:
-        a first claim carried out late brought it back, and its points were told to wait that had
-        been told to be done."""
-        never = (
+    def _unchanged_conditions(self) -> list[tuple[str, int]]:
+        """Conditions that the block's record is unchanged.
+
+        A block that was never written must not be among the ended blocks either, as its live key
+        is absent again once it has ended. A first claim that was executed late recreated such a
+        block, and points already reported as done were reported as waiting.
+        """
+        never_written = (
             [] if self.stamp else [(block_key(ENDED_BLOCK_PREFIX, self.sweep.id, self.number), 0)]
         )
-        return [(self.key, self.stamp), *never]
+        return [(self.key, self.stamp), *never_written]
 
-    # -- writing --------------------------------------------------------------------------------
+    # -- writing ----------------------------------------------------------------------------------
 
     def flush(self, now: float) -> bool:
-        """Write what is to be written, as far as it may be; whether nothing is left."""
-        if self.busy:
-            if self.again is not None:
-                again, self.again = self.again, None
-                again()
+        """Writes the queued decisions as far as possible now; returns whether none is left."""
+        if self.write_open:
+            if self.repeat_write is not None:
+                repeat, self.repeat_write = self.repeat_write, None
+                repeat()
             return False
-        acting = {
+        active_shards = {
             name: self.owner.held_shards[name] for name in self.owner.shards.active_shards(now)
         }
-        self._drop_stale(acting)
-        queued = (self.claiming, self.giving, self.finishing)
+        self._drop_invalid(active_shards)
+        queued = (self.claiming, self.releasing, self.finishing)
         if not any(queued):
-            return not (self._write_endings(now, acting) or self._write_bad(now, acting))
-        if not self.claiming and not self.giving and now < self.due and not self._last():
+            return not (
+                self._write_ends(now, active_shards) or self._write_failures(now, active_shards)
+            )
+        if (
+            not self.claiming
+            and not self.releasing
+            and now < self.write_due_at
+            and not self._completes_claims()
+        ):
             return False
-        # One shard at a time: a write is conditional on one term.
+        # A write is conditional on the term of one shard.
         shard = next(s for queue in queued for _, s in queue.values())
-        self._write(shard)
+        self._write_decisions(shard)
         return not any(queued)
 
-    def _last(self) -> bool:
-        """What is finishing ends all that is claimed of the block: nothing more will come soon."""
+    def _completes_claims(self) -> bool:
+        """Whether the queued completions cover all claims of the block, so that no further
+        completion is worth waiting for."""
         return self.claimed.bit_count() <= len(self.finishing)
 
-    def _drop_stale(self, acting: dict[str, Shard]) -> None:
-        """What was decided under a term that is over, or for a job that is, is void; and so is what
-        rested on claims that are not there any more: it waits here while another write of the
-        block is under way. Without that check a point that another shard had claimed meanwhile
-        was claimed by both, and ran twice."""
-        claimed, over = self.claimed, self.over
-        for queue in (self.claiming, self.giving, self.finishing):
+    def _drop_invalid(self, active_shards: dict[str, Shard]) -> None:
+        """Drops queued decisions that are no longer valid.
+
+        A decision is invalid if it was made under a term that has ended or for a job that has
+        ended, or if the claims that it was based on have changed while it waited for another write
+        of the block. Without the check of the claims, a point that another shard had claimed in
+        the meantime was claimed by both, and ran twice.
+        """
+        claimed, ended = self.claimed, self.ended_points
+        for queue in (self.claiming, self.releasing, self.finishing):
             for k, (job, shard) in list(queue.items()):
-                mine = self.claims.get(shard.name, 0)
-                stands = not claimed >> k & 1 if queue is self.claiming else mine >> k & 1
+                own_claims = self.claims.get(shard.name, 0)
+                claim_valid = (
+                    not claimed >> k & 1 if queue is self.claiming else own_claims >> k & 1
+                )
                 if (
-                    not stands
-                    or acting.get(shard.name) is not shard
+                    not claim_valid
+                    or active_shards.get(shard.name) is not shard
                     or self.owner.jobs.get(job.id) is not job
-                    or over >> k & 1
+                    or ended >> k & 1
                 ):
                     del queue[k]
-                    self._settle(job)
+                    self._clear_write_marks(job)
 
-    def _write(self, shard: Shard) -> None:
+    def _write_decisions(self, shard: Shard) -> None:
         owner = self.owner
-        claiming = _of(self.claiming, shard)
-        giving = _of(self.giving, shard)
-        finishing = _of(self.finishing, shard)
+        claiming = _take_entries(self.claiming, shard)
+        releasing = _take_entries(self.releasing, shard)
+        finishing = _take_entries(self.finishing, shard)
         changes: list[wire.Put | wire.Delete] = []
-        conditions = self._conditions(shard)
+        conditions = self._write_conditions(shard)
         for team in list(dict.fromkeys(job.spec.team for job, _ in claiming.values())):
             if not owner.limits.claims_within_share(shard.name, team):
-                # The limit stands against it by now: they are left to the next pass.
+                # The team's limit does not allow these claims any more; the next pass decides anew.
                 for k, (job, _) in list(claiming.items()):
                     if job.spec.team == team:
                         del claiming[k]
-                        self._settle(job)
+                        self._clear_write_marks(job)
                         job.claim_after = owner.now + owner.settings.poll_interval_s / 2
-        if not claiming and not giving and not finishing:
+        if not claiming and not releasing and not finishing:
             return
         record = self.record()
         bits = self.claims.get(shard.name, 0)
         for k in claiming:
             bits |= 1 << k
-        for k in (*giving, *finishing):
+        for k in (*releasing, *finishing):
             bits &= ~(1 << k)
         record.claims.pop(shard.name, None)
         if bits:
@@ -382,7 +411,7 @@
             conditions,
             [wire.Put(self.key, record), *changes],
             [job for job, _ in (claiming | finishing).values()],
-            [job for job, _ in giving.values()],
+            [job for job, _ in releasing.values()],
         )
 
     def _commit(
@@ -391,35 +420,37 @@
         conditions: list[tuple[str, int]],
         changes: list[wire.Put | wire.Delete],
         jobs: list[JobRun],
-        giving: list[JobRun],
-        doubtful: bool = False,
+        releasing: list[JobRun],
+        repeated: bool = False,
     ) -> None:
         owner = self.owner
-        self.busy = True
+        self.write_open = True
         stamp = conditions[0][1]
 
         def done(result: Result) -> None:
             owner.pass_needed = True
-            unsure = doubtful or result.outcome in (Outcome.UNKNOWN, Outcome.CONFLICT)
+            uncertain = repeated or result.outcome in (Outcome.UNKNOWN, Outcome.CONFLICT)
             current = (
                 self.stamp == stamp
                 and owner.held_shards.get(shard.name) is shard
-                and self.feature.sweeps.get(self.sweep.id) is self.sweep
+                and self.manager.sweeps.get(self.sweep.id) is self.sweep
             )
-            if giving and current and unsure and result.outcome is not Outcome.DONE:
-                # It may be executed late: what is being given back is placed by nobody until a
-                # newer record has been read. Of an earlier copy it says nothing that this one is
-                # refused, and a conflict may be that copy's work.
+            if releasing and current and uncertain and result.outcome is not Outcome.DONE:
+                # The write may still be executed: released points must not be placed until a newer
+                # record has been read. That this copy is refused says nothing about an earlier
+                # copy, and a conflict may be caused by that copy.
                 owner.sync.request_sync()
-                self.again = lambda: self._commit(shard, conditions, changes, jobs, giving, True)
+                self.repeat_write = lambda: self._commit(
+                    shard, conditions, changes, jobs, releasing, True
+                )
                 return
-            self.busy = False
-            for job in jobs + giving:
-                self._settle(job)
+            self.write_open = False
+            for job in jobs + releasing:
+                self._clear_write_marks(job)
                 if result.outcome is not Outcome.DONE:
                     job.claim_after = owner.now + owner.random.uniform(0.05, 0.5)
             if result.outcome is Outcome.DONE:
-                for job in giving:
+                for job in releasing:
                     job.claim_after = owner.now + owner.random.uniform(0.5, 1.5)
             else:
                 owner.count("block_conflicts")
@@ -427,37 +458,44 @@
 
         owner.commit(conditions, changes, done)
 
-    def _settle(self, job: JobRun) -> None:
-        """Nothing of a job is being written any more."""
+    def _clear_write_marks(self, job: JobRun) -> None:
+        """Clears the marks of a write under way from a job."""
         job.committing = False
         job.claiming = None
         job.releasing = 0
         self.owner.ledger.update_claims(job)
 
-    def _write_bad(self, now: float, acting: dict[str, Shard]) -> bool:
-        """Write down which points can't run. Whose block it is does it; if that controller does
-        not, another does. True if there is more to do."""
-        self.bad = {k: why for k, why in self.bad.items() if not self.over >> k & 1}
-        if not self.bad:
+    def _write_failures(self, now: float, active_shards: dict[str, Shard]) -> bool:
+        """Writes which points can't run; returns whether there may be more to write.
+
+        The controller that the block is assigned to writes it; another one does if that has not
+        happened within a lease.
+        """
+        self.unwritten_failures = {
+            k: why for k, why in self.unwritten_failures.items() if not self.ended_points >> k & 1
+        }
+        if not self.unwritten_failures:
             return False
-        shard = acting.get(self.owner.settings.node)
-        patience = 0.0 if self.number in self.sweep.own_blocks else self.owner.leadership.lease_s
-        if shard is None or now < self.bad_at + patience:
+        shard = active_shards.get(self.owner.settings.node)
+        delay_s = 0.0 if self.number in self.sweep.own_blocks else self.owner.leadership.lease_s
+        if shard is None or now < self.failure_found_at + delay_s:
             return True
         record = self.record()
-        # All of a block may fail: its reasons take half of a value at most.
+        # All points of a block may fail: their reasons together take at most half of a value.
         length = int(self.owner.settings.params.state.value_kb * 512 / self.sweep.block_size)
-        for k, why in sorted(self.bad.items()):
+        for k, why in sorted(self.unwritten_failures.items()):
             record.failed[str(k)] = why[:length]
             log.info(
                 "point failed job=%s why=%s", point_id(self.sweep.id, self.first_point + k), why
             )
-        self._commit(shard, self._conditions(shard), [wire.Put(self.key, record)], [], [])
+        self._commit(shard, self._write_conditions(shard), [wire.Put(self.key, record)], [], [])
         return True
 
 
-def _of(queue: dict[int, tuple[JobRun, Shard]], shard: Shard) -> dict[int, tuple[JobRun, Shard]]:
-    """What of a queue belongs to a shard, taken out of it."""
+def _take_entries(
+    queue: dict[int, tuple[JobRun, Shard]], shard: Shard
+) -> dict[int, tuple[JobRun, Shard]]:
+    """Removes the entries of a shard from a queue and returns them."""
     taken = {k: entry for k, entry in queue.items() if entry[1] is shard}
     for k in taken:
         del queue[k]
--- a/sagecove/sweeps/model.py
+++ b/sagecove/sweeps/model.py
@@ -1,7 +1,7 @@
-"""What a controller keeps of a sweep: sets of numbers, and jobs for what is near its turn.
+"""Keeps a controller's view of a sweep: sets of point numbers, grouped by their jobs' properties.
 
-A point is a job like any other from the moment it may be claimed. Before that it is a bit in the
-set of its group: points that the order of claims cannot tell apart by anything but their number.
+A point is a job like any other from the moment it may be claimed. Before that it is one bit in the
+set of its group. Points of a group differ, for the order of claims, only by their numbers.
 """
 
 from __future__ import annotations
@@ -18,34 +18,38 @@
 if TYPE_CHECKING:
     from sagecove.sweeps.blocks import Block
 
-# More groups than this are not told apart by run time and deadline.
-GROUPS_MOST = 64
+# With this many groups, new ones are not separated by run time and deadline any more.
+MAX_DETAILED_GROUP_COUNT = 64
 
 GroupKey = tuple[object, ...]
 
 
-def heavy(spec: Job) -> bool:
-    """More than one task: its state does not fit a bit, so it gets a record of its own."""
+def needs_job_record(spec: Job) -> bool:
+    """Whether a point has more than one task: its state does not fit one bit, so it needs a job
+    record of its own."""
     return spec.kind != ARRAY or spec.tasks != 1
 
 
 class PointGroup:
-    """Points of one team, priority, class and size."""
+    """Points of a sweep that share team, priority, class and size."""
 
     def __init__(self, spec: Job) -> None:
         self.team = spec.team
         self.cpus = spec.cpus * spec.tasks
         self.gpus = spec.gpus * spec.tasks
-        self.heavy = heavy(spec)
-        # Points that nobody has claimed, as far as is known: not jobs here yet, and jobs here.
+        self.needs_job_records = needs_job_record(spec)
+        # Points not known to be claimed: those not jobs on this controller yet, and those that are.
         self.waiting = 0
         self.claimable = 0
-        # Points seen in looking through the sweep.
-        self.seen = 0
+        # Points of the group found so far by scanning the sweep.
+        self.scanned_point_count = 0
 
 
 class Sweep:
-    """A live sweep."""
+    """A live sweep on this controller.
+
+    Sets of points and of blocks are integers with one bit per number.
+    """
 
     def __init__(self, record: SweepRecord, stamp: int, node: str, nodes: list[str]) -> None:
         self.record = record
@@ -53,48 +57,53 @@
         self.id = record.id
         self.space: Space = record.space
         self.size = self.space.count()
-        self.names = self.space.names()
-        self.form = CompiledTemplate(record.template)
+        self.parameter_names = self.space.names()
+        self.compiled_template = CompiledTemplate(record.template)
         self.only = taskset.decode(record.only) if record.only else None
         self.block_size = record.block
         self.block_count = -(-self.size // self.block_size)
-        self.every_block = taskset.full(self.block_count)
+        self.all_blocks = taskset.full(self.block_count)
         self.progress = ProgressRecord()
         self.progress_stamp = 0
-        self.over_blocks = 0
+        self.ended_blocks = 0
         self.groups: dict[GroupKey, PointGroup] = {}
         self.blocks: dict[int, Block] = {}
-        # Each controller begins with blocks of its own, so that they seldom reach for the same.
-        turn = sorted(nodes).index(node)
+        # Each controller starts with the blocks assigned to it, to avoid conflicts with the others.
+        node_index = sorted(nodes).index(node)
         count = len(nodes)
-        self.own_blocks = range(turn, self.block_count, count)
-        self.scan_order = [b for n in range(count) for b in self._stripe((turn + n) % count, count)]
-        self.own = 0
+        self.own_blocks = range(node_index, self.block_count, count)
+        self.scan_order = [
+            b for n in range(count) for b in self._assigned_blocks((node_index + n) % count, count)
+        ]
+        self.own_points = 0
         for number in self.own_blocks:
-            self.own |= self.mask(number)
+            self.own_points |= self.points_of_block(number)
         self.scanned_count = 0
-        self.left_out = 0
-        # Blocks of which all points are over: thousands are not, and are not looked at for it.
-        self.complete: dict[int, Block] = {}
-        self.closing = False
+        self.left_out_count = 0
+        # Blocks of which all points have ended, kept apart from thousands of others so that
+        # ending blocks does not iterate over all of them.
+        self.complete_blocks: dict[int, Block] = {}
+        self.close_write_open = False
         self.closed_at = -1e9
         self._reasons: dict[tuple[object, ...], str | None] = {}
 
-    def _stripe(self, turn: int, count: int) -> range:
-        return range(turn, self.block_count, count)
+    def _assigned_blocks(self, node_index: int, count: int) -> range:
+        return range(node_index, self.block_count, count)
 
-    def mask(self, number: int) -> int:
-        """The points of a block, as a set of the sweep's numbers."""
+    def points_of_block(self, number: int) -> int:
+        """Returns the set of a block's points, numbered as in the sweep."""
         first = number * self.block_size
         return taskset.full(min(self.block_size, self.size - first)) << first
 
-    def at(self, k: int) -> float:
-        """When point k counts as submitted: a moment apart, so that among equals the lower number
-        comes first."""
+    def submitted_at(self, k: int) -> float:
+        """Returns the submission time of point k.
+
+        Points are a microsecond apart, so that among equal ones the lower number comes first.
+        """
         return self.record.at + 1e-6 * k
 
     def point_values(self, k: int) -> dict[str, Value] | None:
-        """What point k binds; None if it is left out."""
+        """Returns the parameter values of point k; None if the filter excludes it."""
         if self.only is not None and not self.only >> k & 1:
             return None
         point = self.space.point_values(k)
@@ -104,74 +113,87 @@
         return {**self.record.values, **point}
 
     def point_spec(self, k: int) -> Job | str | None:
-        """The job of point k; why it can't be one; None if it is left out."""
+        """Returns the job of point k, or the reason why it has none; None if the filter excludes
+        it."""
         values = self.point_values(k)
         if values is None:
             return None
         try:
-            self.form.check_values({name: values[name] for name in self.names})
-            return self.form.render(point_id(self.id, k), values)
+            self.compiled_template.check_values(
+                {name: values[name] for name in self.parameter_names}
+            )
+            return self.compiled_template.render(point_id(self.id, k), values)
         except TemplateError as error:
             return str(error)
 
-    def impossible(self, spec: Job, judge: Callable[[Job], str | None]) -> str | None:
-        """Why a point's job can never run, by the core's judge; like needs are judged once."""
+    def impossible_reason(self, spec: Job, reason_of: Callable[[Job], str | None]) -> str | None:
+        """Returns why a point's job can never run, by the core's `reason_of`; None if it can. The
+        result is cached for jobs with the same needs."""
         types = tuple(spec.types) if spec.types is not None else None
         key = (spec.team, types, spec.zone, spec.cpus, spec.gpus, spec.memory_gb)
         if key not in self._reasons:
             if len(self._reasons) > 1000:
                 self._reasons.clear()
-            self._reasons[key] = judge(spec)
+            self._reasons[key] = reason_of(spec)
         return self._reasons[key]
 
     def group_of(self, spec: Job) -> PointGroup:
-        """The group that a point belongs to."""
-        like = (spec.team, spec.priority, spec.klass, spec.cpus, spec.gpus, spec.tasks, spec.kind)
-        key: GroupKey = (*like, spec.estimate_s, spec.deadline_s)
-        if key not in self.groups and len(self.groups) >= GROUPS_MOST:
-            key = like
+        """Returns the group of a point's job and creates it if needed."""
+        coarse_key = (
+            spec.team,
+            spec.priority,
+            spec.klass,
+            spec.cpus,
+            spec.gpus,
+            spec.tasks,
+            spec.kind,
+        )
+        key: GroupKey = (*coarse_key, spec.estimate_s, spec.deadline_s)
+        if key not in self.groups and len(self.groups) >= MAX_DETAILED_GROUP_COUNT:
+            key = coarse_key
         found = self.groups.get(key)
         if found is None:
             found = self.groups[key] = PointGroup(spec)
         return found
 
-    def forget(self, k: int) -> None:
-        """Point k waits no more: it is claimed, or over."""
+    def remove_unclaimed(self, k: int) -> None:
+        """Removes point k from the unclaimed points of its group: it is claimed or has ended."""
         bit = 1 << k
         for group in self.groups.values():
             group.waiting &= ~bit
             group.claimable &= ~bit
 
     def next_waiting(self, group: PointGroup) -> int | None:
-        """The point of a group that becomes a job next: of one's own blocks first."""
-        bits = group.waiting & self.own or group.waiting
+        """Returns the waiting point of a group that becomes a job next, those in blocks assigned to
+        this controller first; None if no point waits."""
+        bits = group.waiting & self.own_points or group.waiting
         return (bits & -bits).bit_length() - 1 if bits else None
 
     def count_points(self) -> dict[str, int]:
-        """Points by what became of them, as far as is known here."""
+        """Returns the number of points by state, as far as known to this controller."""
         done, failed = self.progress.done, self.progress.failed
         cancelled, claimed = self.progress.cancelled, 0
-        # Those with records of their own count as claimed.
+        # Points with job records of their own count as claimed.
         for block in self.blocks.values():
             done += block.done.bit_count()
             failed += len(block.failure_reasons)
             cancelled += block.cancelled.bit_count()
             claimed += sum(bits.bit_count() for bits in block.claims.values())
-            claimed += block.made.bit_count()
-        waiting = self.size - done - failed - cancelled - claimed - self.left_out
+            claimed += block.with_job_record.bit_count()
+        waiting = self.size - done - failed - cancelled - claimed - self.left_out_count
         return {
             "points": self.size,
             "done": done,
             "failed": failed,
             "cancelled": cancelled,
-            "left_out": self.left_out,
+            "left_out": self.left_out_count,
             "claimed": claimed,
             "waiting": max(0, waiting),
         }
 
 
 class BlockSets(NamedTuple):
-    """A block record's sets; numbers count from the block's first point."""
+    """The decoded sets of a block record; points are numbered from the block's first point."""
 
     claims: dict[str, int]
     done: int
@@ -181,9 +203,12 @@
 
 
 def decode_block(record: BlockRecord, size: int) -> BlockSets:
-    """A block record's sets. Numbers beyond the block, which nobody writes, count for nothing."""
-    every = taskset.full(size)
-    claims = {shard: taskset.decode(text) & every for shard, text in record.claims.items()}
+    """Decodes the sets of a block record. Numbers beyond the block, which no controller writes, are
+    ignored."""
+    all_points = taskset.full(size)
+    claims = {shard: taskset.decode(text) & all_points for shard, text in record.claims.items()}
     failed = {int(k): why for k, why in record.failed.items() if k.isdecimal() and int(k) < size}
-    sets = [taskset.decode(text) & every for text in (record.done, record.cancelled, record.made)]
+    sets = [
+        taskset.decode(text) & all_points for text in (record.done, record.cancelled, record.made)
+    ]
     return BlockSets(claims, sets[0], sets[1], sets[2], failed)
--- a/sagecove/sweeps/records.py
+++ b/sagecove/sweeps/records.py
@@ -1,7 +1,7 @@
-"""What templates and sweeps keep in the state service.
+"""Defines the records of templates and sweeps in the state service.
 
-A sweep is one record that does not change, its blocks' records, which hold what became of its
-points in compact sets, and its progress. What is over moves out of the watch, below `o/`.
+A sweep has one immutable record, a record for each block with the states of its points in compact
+sets, and a progress record. Records that have ended move below `o/`, which is not watched.
 """
 
 from __future__ import annotations
@@ -14,32 +14,33 @@
 from sagecove.protocol.users import JOB_ID_PATTERN
 from sagecove.sweeps.parameter_space import Space, Value
 
-# Live, watched by all controllers.
+# Key prefixes of live records, watched by all controllers.
 SWEEP_PREFIX = "s/sweep/"
 BLOCK_PREFIX = "s/points/"
 PROGRESS_PREFIX = "s/swept/"
-# Over, read one by one.
+# Key prefixes of ended records, which are not watched but read singly.
 ENDED_SWEEP_PREFIX = "o/sweep/"
 ENDED_BLOCK_PREFIX = "o/points/"
-# Written beside a job whose id looks like a point's of this sweep: no such sweep may begin.
+# Written together with a job whose id has the form of a point's id of this sweep: prevents the
+# sweep from being created.
 TAKEN_SWEEP_ID_PREFIX = "o/taken/"
-# Versions of templates, immutable.
+# Immutable versions of templates.
 TEMPLATE_PREFIX = "t/"
 
 # `run-nightly.p17` is point 17 of the sweep `run-nightly`.
-POINT = re.compile(r"(run-[A-Za-z0-9_.-]{1,90})\.p(0|[1-9]\d{0,5})\Z")
-# A sweep's id: a job's, with room for a point's number.
+POINT_ID_PATTERN = re.compile(r"(run-[A-Za-z0-9_.-]{1,90})\.p(0|[1-9]\d{0,5})\Z")
+# A sweep's id is a valid job id that leaves room for the number of a point.
 SWEEP_ID_PATTERN = re.compile(r"run-[A-Za-z0-9_.-]{1,90}\Z")
 
 
 def point_id(sweep: str, k: int) -> str:
-    """The job id of a sweep's point."""
+    """Returns the job id of a sweep's point."""
     return f"{sweep}.p{k}"
 
 
 def parse_point_id(job_id: str) -> tuple[str, int] | None:
-    """Sweep and number of an id that has the form of a point's."""
-    match = POINT.match(job_id)
+    """Returns sweep id and point number of a job id of a point's form; None for other ids."""
+    match = POINT_ID_PATTERN.match(job_id)
     return (match[1], int(match[2])) if match and JOB_ID_PATTERN.match(job_id) else None
 
 
@@ -55,16 +56,16 @@
     unit: str = ""
     about: str = ""
     default: Value | None = None
-    # What it may be: these values, or a range (both ends included).
+    # Allowed values: a list, or a range with both ends included.
     allowed: list[Value] | None = None
     least: int | float | None = None
     most: int | float | None = None
-    # Teams whose jobs may set it; None: all. Others get the default.
+    # Teams whose jobs may set the parameter, None for all; the others get the default.
     set_by: list[str] | None = None
 
 
 class Template(msgspec.Struct, forbid_unknown_fields=True, omit_defaults=True):
-    """A version of a template: parameters, and a job's fields with `${name}` for them."""
+    """A version of a template: parameters, and a job's fields with `${name}` placeholders."""
 
     name: TemplateName
     parameters: list[Parameter]
@@ -74,35 +75,35 @@
 
 
 class SweepRecord(msgspec.Struct, omit_defaults=True):
-    """A live sweep: all that its points are computed from. Never changed while it lives."""
+    """A live sweep: everything that its points are computed from. Immutable while it is live."""
 
     id: str
     at: float
     template: Template
     space: Space
-    # Parameters that are the same for all points.
+    # Parameter values that all points share.
     values: dict[str, Value] = {}
-    # Points in a block.
+    # Number of points in a block.
     block: int = 64
-    # If not "", only these points (a set of numbers): a sweep of what failed in another.
+    # Set of the points that run, "" for all: used to retry the failed points of another sweep.
     only: str = ""
 
 
 class BlockRecord(msgspec.Struct, omit_defaults=True):
-    """What became of a block's points; numbers count from the block's first point."""
+    """The states of a block's points, which are numbered from the block's first point."""
 
-    # Shard to the points that it has claimed and that are not over.
+    # Shard to the set of points that it has claimed and that have not ended.
     claims: dict[str, str] = {}
     done: str = ""
     cancelled: str = ""
-    # Points that are jobs with records of their own, until they are known to be over.
+    # Points that are jobs with records of their own and are not known to have ended.
     made: str = ""
-    # Points that can't run, with the reason.
+    # Points that can't run, with the reasons.
     failed: dict[str, str] = {}
 
 
 class ProgressRecord(msgspec.Struct, omit_defaults=True):
-    """Blocks that are over, and what became of their points."""
+    """The set of ended blocks, and the number of their points by final state."""
 
     over: str = ""
     done: int = 0
@@ -112,7 +113,7 @@
 
 
 class EndedSweepRecord(msgspec.Struct, omit_defaults=True):
-    """A sweep that has ended: `done` or `aborted`."""
+    """An ended sweep; its state is `done` or `aborted`."""
 
     state: str
     record: SweepRecord
@@ -120,16 +121,16 @@
 
 
 def block_key(prefix: str, sweep: str, number: int) -> str:
-    """Key of a block."""
+    """Returns the key of a block."""
     return f"{prefix}{sweep}/{number:06d}"
 
 
 def parse_block_key(key: str) -> tuple[str, int]:
-    """Sweep and number of a block's key."""
+    """Returns sweep id and block number of a live block's key."""
     sweep, _, number = key[len(BLOCK_PREFIX) :].rpartition("/")
     return sweep, int(number)
 
 
 def template_key(name: str, version: int) -> str:
-    """Key of a template's version."""
+    """Returns the key of a template's version."""
     return f"{TEMPLATE_PREFIX}{name}/{version:06d}"
