--- a/tests/test_sweep_machine.py
+++ b/tests/test_sweep_machine.py
@@ -1,6 +1,8 @@
-"""A machine that submits, kills, cuts, cancels and retries sweeps, and checks what became of them.
+"""State machine test of sweeps: random submissions, cancellations and faults.
 
-The world checks PROTOCOL's rules at every start; this checks that no point is lost or made twice.
+Points could be lost or completed twice when controllers are killed, cut off or refused by the
+state service while blocks are written. The simulated world checks PROTOCOL's rules at every start
+of a task; this test checks the final state of each point.
 """
 
 from typing import Any
@@ -18,7 +20,7 @@
 
 
 class SweepStateMachine(RuleBasedStateMachine):
-    """Three controllers, six machines, sweeps of some tens of points."""
+    """Runs three controllers, six machines and sweeps of up to 40 points."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,12 +28,12 @@
         for i in range(6):
             self.world.cloud.start_machine("small", "ab"[i % 2], False)
         self.world.run(3)
-        self.sizes: dict[str, int] = {}
-        self.cancelled: set[str] = set()
-        self.single: set[str] = set()
+        self.sweep_sizes: dict[str, int] = {}
+        self.cancelled_sweeps: set[str] = set()
+        self.cancelled_points: set[str] = set()
 
-    def user(self, method: str, path: str, body: Any = b"") -> tuple[int, Any]:
-        """Ask the controllers in turn, as the load balancer would."""
+    def request(self, method: str, path: str, body: Any = b"") -> tuple[int, Any]:
+        """Sends a request to the controllers in turn until one answers, like a load balancer."""
         for node in sorted(self.world.owners):
             status, answer = self.world.user_request(node, method, path, body)
             if status not in (0, 503):
@@ -49,14 +51,14 @@
         seconds=st.integers(0, 3),
     )
     def submit(self, size: int, team: str, hands: int, seconds: int) -> None:
-        name = f"run-s{len(self.sizes)}"
+        name = f"run-s{len(self.sweep_sizes)}"
         spec = {
             k: v for k, v in job_submission(1, outfit=team, hands=hands).items() if k != "nameId"
         }
         body = {"id": name, "space": f"x in 1..{size}", "job": spec}
-        status, _ = self.user("POST", "/api/sweeps", body)
+        status, _ = self.request("POST", "/api/sweeps", body)
         if status in (200, 201):
-            self.sizes[name] = size
+            self.sweep_sizes[name] = size
         self.world.run(seconds)
 
     @rule(seconds=st.integers(1, 6))
@@ -82,10 +84,10 @@
         self.world.run(seconds)
         self.world.state.refused_nodes = set()
 
-    @rule(verdict=st.sampled_from(["lost", "unanswered", "late", "throttled"]))
-    def bad_writes(self, verdict: str) -> None:
+    @rule(fault=st.sampled_from(["lost", "unanswered", "late", "throttled"]))
+    def bad_writes(self, fault: str) -> None:
         self.world.state.transaction_fault = lambda node, body: (
-            verdict if self.world.random.random() < 0.3 else None
+            fault if self.world.random.random() < 0.3 else None
         )
         self.world.run(3)
         self.world.state.transaction_fault = None
@@ -96,64 +98,66 @@
         self.world.run(6)
         self.world.nodes_cut_from_workers = set()
 
-    @precondition(lambda self: self.sizes)
+    @precondition(lambda self: self.sweep_sizes)
     @rule(pick=st.integers(0, 99))
     def cancel_a_sweep(self, pick: int) -> None:
-        name = sorted(self.sizes)[pick % len(self.sizes)]
-        status, answer = self.user("POST", f"/api/sweeps/{name}/cancel")
+        name = sorted(self.sweep_sizes)[pick % len(self.sweep_sizes)]
+        status, answer = self.request("POST", f"/api/sweeps/{name}/cancel")
         if status == 200 and answer["state"] == "aborted":
-            self.cancelled.add(name)
+            self.cancelled_sweeps.add(name)
 
-    @precondition(lambda self: self.sizes)
+    @precondition(lambda self: self.sweep_sizes)
     @rule(pick=st.integers(0, 999))
     def cancel_a_point(self, pick: int) -> None:
-        name = sorted(self.sizes)[pick % len(self.sizes)]
-        point = f"{name}.p{pick % self.sizes[name]}"
-        status, answer = self.user("POST", f"/api/jobs/{point}/cancel")
+        name = sorted(self.sweep_sizes)[pick % len(self.sweep_sizes)]
+        point = f"{name}.p{pick % self.sweep_sizes[name]}"
+        status, answer = self.request("POST", f"/api/jobs/{point}/cancel")
         if status == 200 and answer["standing"] == "aborted":
-            self.single.add(point)
+            self.cancelled_points.add(point)
 
     def teardown(self) -> None:
-        """Left alone, everything comes to its end, and each point's end can be told."""
-        w = self.world
-        for name, size in self.sizes.items():
-            w.run_until(
+        """Checks that without further faults all sweeps end and each point has its final state."""
+        world = self.world
+        for name, size in self.sweep_sizes.items():
+            world.run_until(
                 lambda name=name: (
-                    self.user("GET", f"/api/sweeps/{name}")[1]["state"] in ("done", "aborted")
+                    self.request("GET", f"/api/sweeps/{name}")[1]["state"] in ("done", "aborted")
                 ),
                 400,
             )
-            told = {}
+            final_states = {}
             for k in range(size):
-                w.run_until(
+                world.run_until(
                     lambda k=k, name=name: (
-                        self.user("GET", f"/api/jobs/{name}.p{k}")[1]["standing"]
+                        self.request("GET", f"/api/jobs/{name}.p{k}")[1]["standing"]
                         in ("done", "aborted")
                     ),
                     30,
                 )
-                told[k] = self.user("GET", f"/api/jobs/{name}.p{k}")[1]["standing"]
-            hands = {t.rpartition("/")[2] for t in w.completed_tasks if t.startswith(f"{name}.p")}
-            for k, state in told.items():
+                final_states[k] = self.request("GET", f"/api/jobs/{name}.p{k}")[1]["standing"]
+            hands = {
+                t.rpartition("/")[2] for t in world.completed_tasks if t.startswith(f"{name}.p")
+            }
+            for k, state in final_states.items():
                 point = f"{name}.p{k}"
-                done = {t for t in w.completed_tasks if t.startswith(f"{point}/")}
+                done = {t for t in world.completed_tasks if t.startswith(f"{point}/")}
                 if state == "done":
-                    assert len(done) == max(1, len(hands)) and point not in self.single
+                    assert len(done) == max(1, len(hands)) and point not in self.cancelled_points
                 else:
-                    assert name in self.cancelled or point in self.single
-            if name not in self.cancelled:
-                counts = self.user("GET", f"/api/sweeps/{name}")[1]
-                assert counts["done"] == sum(s == "done" for s in told.values())
+                    assert name in self.cancelled_sweeps or point in self.cancelled_points
+            if name not in self.cancelled_sweeps:
+                counts = self.request("GET", f"/api/sweeps/{name}")[1]
+                assert counts["done"] == sum(s == "done" for s in final_states.values())
                 assert counts["cancelled"] == size - counts["done"]
-        w.run(20)
+        world.run(20)
         assert not [
-            k for k in w.state.keys if k.startswith(("s/sweep", "s/points", "s/swept", "s/job"))
+            k for k in world.state.keys if k.startswith(("s/sweep", "s/points", "s/swept", "s/job"))
         ]
-        # Nothing is left on machines, and no allotment is kept for what is gone.
-        assert not any(worker.live_tasks() for worker in w.workers.values())
+        # No task is left on any machine.
+        assert not any(worker.live_tasks() for worker in world.workers.values())
 
 
 SweepStateMachine.TestCase.settings = settings(
     derandomize=True, max_examples=8, stateful_step_count=10, deadline=None
 )
-TestSweeping = SweepStateMachine.TestCase
+TestSweepStateMachine = SweepStateMachine.TestCase
--- a/tests/test_sweeps.py
+++ b/tests/test_sweeps.py
@@ -1,4 +1,9 @@
-"""Stories of templates and sweeps: points claimed, killed, cancelled, retried, counted alike."""
+"""Tests of templates and sweeps through users' requests.
+
+They guard against points that are lost, run twice or stay unreported when controllers are killed,
+writes fail or sweeps are cancelled, and against sweeps that are scheduled differently from single
+jobs.
+"""
 
 import json
 from typing import Any
@@ -16,258 +21,269 @@
 
 
 def point_job(**fields: Any) -> dict[str, Any]:
-    """A point's job, without an id."""
+    """Returns the submission of a point's job, without an id."""
     return {k: v for k, v in job_submission(1, **fields).items() if k != "nameId"}
 
 
 def sweep_world(machines: int = 6, nodes: int = 3, seed: int = 1) -> World:
-    w = World(node_count=nodes, seed=seed, features=SWEEPS_ENABLED)
+    world = World(node_count=nodes, seed=seed, features=SWEEPS_ENABLED)
     for i in range(machines):
-        w.cloud.start_machine("small", "ab"[i % 2], False)
-    w.run(3)
-    return w
+        world.cloud.start_machine("small", "ab"[i % 2], False)
+    world.run(3)
+    return world
 
 
-def submit_sweep(w: World, space: str, node: str = "n0", name: str = "run-s", **fields: Any) -> Any:
+def submit_sweep(
+    world: World, space: str, node: str = "n0", name: str = "run-s", **fields: Any
+) -> Any:
     body = {"id": name, "space": space, "job": point_job(**fields)}
-    return w.user_request(node, "POST", "/api/sweeps", body)
+    return world.user_request(node, "POST", "/api/sweeps", body)
 
 
-def sweep_view(w: World, name: str = "run-s", node: str = "n1") -> dict[str, Any]:
-    status, answer = w.user_request(node, "GET", f"/api/sweeps/{name}")
+def sweep_view(world: World, name: str = "run-s", node: str = "n1") -> dict[str, Any]:
+    status, answer = world.user_request(node, "GET", f"/api/sweeps/{name}")
     return answer if status == 200 else {"state": str(status)}
 
 
-def over(w: World, name: str = "run-s") -> bool:
-    return sweep_view(w, name, sorted(w.owners)[0])["state"] in ("done", "aborted")
+def is_over(world: World, name: str = "run-s") -> bool:
+    return sweep_view(world, name, sorted(world.owners)[0])["state"] in ("done", "aborted")
 
 
-def starts(w: World) -> list[str]:
-    return [task for _, task, _ in w.task_starts]
+def started_tasks(world: World) -> list[str]:
+    return [task for _, task, _ in world.task_starts]
 
 
-def test_a_sweep_runs_each_point_once_and_keeps_what_became_of_it() -> None:
-    w = sweep_world()
-    status, answer = submit_sweep(w, "x in 1..40 where x != 7")
+def test_each_point_runs_once_and_keeps_its_final_state() -> None:
+    world = sweep_world()
+    status, answer = submit_sweep(world, "x in 1..40 where x != 7")
     assert (status, answer["points"]) == (201, 40)
-    # Twice with the same id is one.
-    assert submit_sweep(w, "x in 1..40 where x != 7", "n1")[0] == 200
-    w.run_until(lambda: over(w), 120)
-    assert sorted(starts(w)) == sorted(f"run-s.p{k}/0" for k in range(40) if k != 6)
-    last = sweep_view(w)
+    # A second submission with the same id is the same sweep.
+    assert submit_sweep(world, "x in 1..40 where x != 7", "n1")[0] == 200
+    world.run_until(lambda: is_over(world), 120)
+    assert sorted(started_tasks(world)) == sorted(f"run-s.p{k}/0" for k in range(40) if k != 6)
+    last = sweep_view(world)
     assert (last["done"], last["left_out"], last["failed"]) == (39, 1, 0)
-    # Nothing of it is left among the live keys, and each point's state can still be asked for.
-    assert not [k for k in w.state.keys if k.startswith(("s/sweep", "s/points", "s/swept"))]
-    for node in w.owners:
-        assert w.user_request(node, "GET", "/api/jobs/run-s.p39")[1]["standing"] == "done"
-        assert w.user_request(node, "GET", "/api/jobs/run-s.p6")[0] == 404
-        assert w.user_request(node, "GET", "/api/jobs/run-s.p40")[0] == 404
-    assert submit_sweep(w, "x in 1..40 where x != 7")[1]["state"] == "done"
-
-
-def test_bad_points_of_five_thousand_fail_alone_and_soon() -> None:
-    w = sweep_world(4)
-    begun = w.now
-    # All that ask for more than a machine of the type has are bad, and all but 17 do.
+    # No live key of the sweep is left, and each point's state is still available.
+    assert not [k for k in world.state.keys if k.startswith(("s/sweep", "s/points", "s/swept"))]
+    for node in world.owners:
+        assert world.user_request(node, "GET", "/api/jobs/run-s.p39")[1]["standing"] == "done"
+        assert world.user_request(node, "GET", "/api/jobs/run-s.p6")[0] == 404
+        assert world.user_request(node, "GET", "/api/jobs/run-s.p40")[0] == 404
+    assert submit_sweep(world, "x in 1..40 where x != 7")[1]["state"] == "done"
+
+
+def test_invalid_points_fail_early_while_others_run() -> None:
+    world = sweep_world(4)
+    started_at = world.now
+    # All points but 17 require more memory than a machine of the type has.
     body = {
         "id": "run-s",
         "space": 'x in 0..4999 * team in ["red"]',
         "job": point_job(vcpus=0.5, outfit="${team}", memoryGb="${x}", breeds=["small"]),
     }
-    assert w.user_request("n2", "POST", "/api/sweeps", body)[0] == 201
-    w.run_until(lambda: sweep_view(w)["failed"] == 5000 - 17, 60)
-    # They are found while the others run.
-    assert w.now - begun < 20
-    first = sweep_view(w)["failures"][0]
+    assert world.user_request("n2", "POST", "/api/sweeps", body)[0] == 201
+    world.run_until(lambda: sweep_view(world)["failed"] == 5000 - 17, 60)
+    # The failing points are found while the others run.
+    assert world.now - started_at < 20
+    first = sweep_view(world)["failures"][0]
     assert first == {"point": 17, "why": "a task fits no allowed machine type"}
-    # Alike reasons are told once, with their first points; of blocks under way.
-    told = sweep_view(w)
-    assert len(told["reasons"]) == 1
-    count = told["reasons"][0]["points"]
+    # Equal reasons are listed once, with their first points, for blocks that have not ended.
+    reported = sweep_view(world)
+    assert len(reported["reasons"]) == 1
+    count = reported["reasons"][0]["points"]
     assert 1000 < count <= 5000 - 17
-    assert _failure_lines(told) == [
+    assert _failure_lines(reported) == [
         f"  {count} points failed (17, 18, 19, 20, 21, ...): a task fits no allowed machine type"
     ]
-    w.run_until(lambda: over(w), 100)
-    assert sweep_view(w)["done"] == 17 and len(w.completed_tasks) == 17
-    answer = w.user_request("n0", "GET", "/api/sweeps/run-s/points?state=failed&from=4990&most=5")[
-        1
-    ]
+    world.run_until(lambda: is_over(world), 100)
+    assert sweep_view(world)["done"] == 17 and len(world.completed_tasks) == 17
+    answer = world.user_request(
+        "n0", "GET", "/api/sweeps/run-s/points?state=failed&from=4990&most=5"
+    )[1]
     assert [p["point"] for p in answer["points"]] == [4990, 4991, 4992, 4993, 4994]
     assert "fits no allowed machine type" in answer["points"][0]["why"]
 
 
-def test_five_thousand_points_at_once_with_one_bad() -> None:
-    w = sweep_world(8)
-    w.cloud.capacity = {"small": 40, "gpu": 0}
-    for worker in w.workers.values():
+def test_large_sweep_with_one_invalid_point() -> None:
+    world = sweep_world(8)
+    world.cloud.capacity = {"small": 40, "gpu": 0}
+    for worker in world.workers.values():
         worker.task_run_s = 1.0
-    # The last point asks for more than there is: `index` is 4999 there alone.
+    # The last point requires more memory than any machine has.
     body = {
         "id": "run-s",
         "space": "size in [1] * n in 0..4998 where size == 1",
         "job": point_job(vcpus=0.25, memoryGb="${size}"),
     }
     body["space"] = "(n in 0..4999 & size in lin(0.1, 99, 5000)) where size < 0.2 or n == 4999"
-    assert w.user_request("n0", "POST", "/api/sweeps", body)[0] == 201
+    assert world.user_request("n0", "POST", "/api/sweeps", body)[0] == 201
     others = 0
-    begun = w.now
-    while not over(w):
+    started_at = world.now
+    while not is_over(world):
         others += 1
-        sent = w.now
-        assert w.submit("n1", job_submission(others, outfit="blue"))[0] == 201
-        # Others' submissions are not delayed meanwhile.
-        assert w.now - sent < 1.0 and w.now - begun < 100
-        w.run(2)
-    last = sweep_view(w)
+        sent = world.now
+        assert world.submit("n1", job_submission(others, outfit="blue"))[0] == 201
+        # The sweep must not delay other submissions.
+        assert world.now - sent < 1.0 and world.now - started_at < 100
+        world.run(2)
+    last = sweep_view(world)
     assert last["failed"] == 1 and last["done"] + last["left_out"] == 4999 and last["done"] > 3
 
 
-def test_a_name_of_no_team_and_a_value_out_of_the_rules_fail_alone() -> None:
-    w = sweep_world()
+def test_unknown_team_and_invalid_values_fail_single_points() -> None:
+    world = sweep_world()
     body = {
         "id": "run-s",
         "space": '(team in ["red", "nobody", "blue", "red"] & cpus in [1.0, 1.0, 99.0, -1.0])',
         "job": point_job(outfit="${team}", vcpus="${cpus}"),
     }
-    assert w.user_request("n0", "POST", "/api/sweeps", body)[0] == 201
-    w.run_until(lambda: over(w), 60)
-    told = w.user_request("n1", "GET", "/api/sweeps/run-s/points?state=failed")[1]["points"]
-    assert [p["point"] for p in told] == [1, 2, 3]
-    assert told[0]["why"] == "unknown team nobody"
-    assert "fits no allowed machine type" in told[1]["why"]
-    assert "vcpus" in told[2]["why"]
-    assert sweep_view(w)["done"] == 1
-    # What failed may be tried again, as a sweep of its own.
-    status, answer = w.user_request("n2", "POST", "/api/sweeps/run-s/retry", {"id": "run-again"})
+    assert world.user_request("n0", "POST", "/api/sweeps", body)[0] == 201
+    world.run_until(lambda: is_over(world), 60)
+    reported = world.user_request("n1", "GET", "/api/sweeps/run-s/points?state=failed")[1]["points"]
+    assert [p["point"] for p in reported] == [1, 2, 3]
+    assert reported[0]["why"] == "unknown team nobody"
+    assert "fits no allowed machine type" in reported[1]["why"]
+    assert "vcpus" in reported[2]["why"]
+    assert sweep_view(world)["done"] == 1
+    # Failed points can be retried as a new sweep.
+    status, answer = world.user_request(
+        "n2", "POST", "/api/sweeps/run-s/retry", {"id": "run-again"}
+    )
     assert (status, answer["points"]) == (201, 4)
-    w.run_until(lambda: over(w, "run-again"), 60)
-    assert (sweep_view(w, "run-again")["failed"], sweep_view(w, "run-again")["left_out"]) == (3, 1)
+    world.run_until(lambda: is_over(world, "run-again"), 60)
     assert (
-        w.user_request("n2", "POST", "/api/sweeps/run-s/retry", {"id": "run-s.x", "states": []})[0]
+        sweep_view(world, "run-again")["failed"],
+        sweep_view(world, "run-again")["left_out"],
+    ) == (3, 1)
+    assert (
+        world.user_request(
+            "n2", "POST", "/api/sweeps/run-s/retry", {"id": "run-s.x", "states": []}
+        )[0]
         == 422
     )
 
 
 @pytest.mark.parametrize("moment", [0.0, 0.3, 1.0, 2.5, 6.0])
-def test_a_controller_killed_at_any_moment_loses_no_point(moment: float) -> None:
-    w = sweep_world(6, seed=3)
-    submit_sweep(w, "x in 1..60")
-    w.run(moment)
-    w.kill_node("n1")
-    w.run(3)
-    w.start_node(1)
-    w.run_until(lambda: over(w), 300)
-    assert len(w.completed_tasks) == 60
-    # Tasks of a holder that is dead run on: hardly any is started twice, and none at one time.
-    assert len(w.task_starts) <= 75
-
-
-@pytest.mark.parametrize("verdict", ["lost", "unanswered", "late", "throttled"])
-def test_writes_of_blocks_with_an_unknown_outcome(verdict: str) -> None:
-    w = sweep_world(6, seed=5)
-    turn = [0]
-
-    def hook(node: str, body: dict[str, Any]) -> str | None:
+def test_killed_controller_loses_no_point(moment: float) -> None:
+    world = sweep_world(6, seed=3)
+    submit_sweep(world, "x in 1..60")
+    world.run(moment)
+    world.kill_node("n1")
+    world.run(3)
+    world.start_node(1)
+    world.run_until(lambda: is_over(world), 300)
+    assert len(world.completed_tasks) == 60
+    # Tasks of a dead holder go on running: few are started twice, and none at the same time.
+    assert len(world.task_starts) <= 75
+
+
+@pytest.mark.parametrize("fault", ["lost", "unanswered", "late", "throttled"])
+def test_block_writes_with_unknown_outcome(fault: str) -> None:
+    world = sweep_world(6, seed=5)
+    write_count = [0]
+
+    def choose_fault(node: str, body: dict[str, Any]) -> str | None:
         if not any("s/points/" in c.get("put", "") for c in body["then"]):
             return None
-        turn[0] += 1
-        return verdict if turn[0] % 3 == 0 else None
-
-    w.state.transaction_fault = hook
-    submit_sweep(w, "x in 1..50")
-    w.run_until(lambda: len(w.completed_tasks) == 50, 300)
-    w.state.transaction_fault = None
-    w.run_until(lambda: over(w), 60)
-    assert sorted(set(starts(w))) == sorted(f"run-s.p{k}/0" for k in range(50))
-
-
-def test_an_outage_in_the_middle_stops_nothing_that_runs() -> None:
-    w = sweep_world(6)
-    submit_sweep(w, "x in 1..60")
-    w.run(6)
-    running = {t for worker in w.workers.values() for t in worker.live_tasks()}
-    w.state.set_outage(True)
-    w.run(10)
-    assert {t for t in running if t in w.completed_tasks} == running
-    w.state.set_outage(False)
-    w.run_until(lambda: over(w), 200)
-    assert len(w.task_starts) == 60
-
-
-def test_cancelling_a_sweep_stops_all_that_is_and_all_that_is_yet_to_come() -> None:
-    w = sweep_world(4)
-    for worker in w.workers.values():
+        write_count[0] += 1
+        return fault if write_count[0] % 3 == 0 else None
+
+    world.state.transaction_fault = choose_fault
+    submit_sweep(world, "x in 1..50")
+    world.run_until(lambda: len(world.completed_tasks) == 50, 300)
+    world.state.transaction_fault = None
+    world.run_until(lambda: is_over(world), 60)
+    assert sorted(set(started_tasks(world))) == sorted(f"run-s.p{k}/0" for k in range(50))
+
+
+def test_state_service_outage_stops_no_running_task() -> None:
+    world = sweep_world(6)
+    submit_sweep(world, "x in 1..60")
+    world.run(6)
+    running = {t for worker in world.workers.values() for t in worker.live_tasks()}
+    world.state.set_outage(True)
+    world.run(10)
+    assert {t for t in running if t in world.completed_tasks} == running
+    world.state.set_outage(False)
+    world.run_until(lambda: is_over(world), 200)
+    assert len(world.task_starts) == 60
+
+
+def test_cancelled_sweep_stops_running_and_waiting_points() -> None:
+    world = sweep_world(4)
+    for worker in world.workers.values():
         worker.task_run_s = 8.0
-    submit_sweep(w, "x in 1..500")
-    w.run_until(lambda: len(w.completed_tasks) > 20, 100)
-    status, answer = w.user_request("n2", "POST", "/api/sweeps/run-s/cancel")
+    submit_sweep(world, "x in 1..500")
+    world.run_until(lambda: len(world.completed_tasks) > 20, 100)
+    status, answer = world.user_request("n2", "POST", "/api/sweeps/run-s/cancel")
     assert (status, answer["state"]) == (200, "aborted")
-    done = {t.split("/")[0] for t in w.completed_tasks}
-    w.cancelled_at = {f"run-s.p{k}": w.now for k in range(500) if f"run-s.p{k}" not in done}
-    begun = len(w.task_starts)
-    w.run_until(lambda: not any(worker.live_tasks() for worker in w.workers.values()), 37)
-    w.run(20)
-    assert len(w.task_starts) <= begun + 16
-    told = {
-        w.user_request("n0", "GET", f"/api/jobs/run-s.p{k}")[1]["standing"]
+    done = {t.split("/")[0] for t in world.completed_tasks}
+    world.cancelled_at = {f"run-s.p{k}": world.now for k in range(500) if f"run-s.p{k}" not in done}
+    start_count = len(world.task_starts)
+    world.run_until(lambda: not any(worker.live_tasks() for worker in world.workers.values()), 37)
+    world.run(20)
+    assert len(world.task_starts) <= start_count + 16
+    reported = {
+        world.user_request("n0", "GET", f"/api/jobs/run-s.p{k}")[1]["standing"]
         for k in range(0, 500, 50)
     }
-    assert told <= {"done", "aborted"} and "aborted" in told
-    # What was done before stays done, on every controller, and what is left is cleared away.
-    counts = sweep_view(w)
+    assert reported <= {"done", "aborted"} and "aborted" in reported
+    # Completed points stay done on every controller, and the remaining records are removed.
+    counts = sweep_view(world)
     assert counts["done"] + counts["cancelled"] == 500
     for k in range(500):
         if f"run-s.p{k}" in done and k % 7 == 0:
-            answer = w.user_request("n1", "GET", f"/api/jobs/run-s.p{k}")[1]
+            answer = world.user_request("n1", "GET", f"/api/jobs/run-s.p{k}")[1]
             assert answer["standing"] in ("done", "aborted")
-    w.run(10)
-    assert not [k for k in w.state.keys if k.startswith("s/points/")]
-    # No point's state has changed by that.
+    world.run(10)
+    assert not [k for k in world.state.keys if k.startswith("s/points/")]
+    # Removing the records has changed no point's state.
     for k in range(0, 500, 50):
-        assert w.user_request("n2", "GET", f"/api/jobs/run-s.p{k}")[1]["standing"] in told
+        assert world.user_request("n2", "GET", f"/api/jobs/run-s.p{k}")[1]["standing"] in reported
 
 
-def test_a_single_point_is_cancelled_waiting_or_running() -> None:
-    w = sweep_world(2)
-    submit_sweep(w, "x in 1..100", vcpus=4.0)
-    w.run_until(lambda: w.running_task_count("run-s.p0") + w.running_task_count("run-s.p1") > 0, 30)
-    running = next(k for k in range(100) if w.running_task_count(f"run-s.p{k}"))
+def test_cancel_single_point_waiting_or_running() -> None:
+    world = sweep_world(2)
+    submit_sweep(world, "x in 1..100", vcpus=4.0)
+    world.run_until(
+        lambda: world.running_task_count("run-s.p0") + world.running_task_count("run-s.p1") > 0, 30
+    )
+    running = next(k for k in range(100) if world.running_task_count(f"run-s.p{k}"))
     for k in (running, 99):
-        status, answer = w.user_request("n1", "POST", f"/api/jobs/run-s.p{k}/cancel")
+        status, answer = world.user_request("n1", "POST", f"/api/jobs/run-s.p{k}/cancel")
         assert (status, answer["standing"]) == (200, "aborted")
-        assert w.user_request("n0", "GET", f"/api/jobs/run-s.p{k}")[1]["standing"] == "aborted"
-    w.run_until(lambda: not w.running_task_count(f"run-s.p{running}"), 10)
-    assert sweep_view(w)["cancelled"] == 2
-    assert w.user_request("n1", "POST", "/api/jobs/run-s.p100/cancel")[0] == 404
+        assert world.user_request("n0", "GET", f"/api/jobs/run-s.p{k}")[1]["standing"] == "aborted"
+    world.run_until(lambda: not world.running_task_count(f"run-s.p{running}"), 10)
+    assert sweep_view(world)["cancelled"] == 2
+    assert world.user_request("n1", "POST", "/api/jobs/run-s.p100/cancel")[0] == 404
 
 
-def test_ids_of_points_and_of_jobs_do_not_clash() -> None:
-    w = sweep_world()
-    # A job that has the id already keeps the sweep out; another id of the sweep will do.
-    assert w.submit("n0", {**job_submission(1), "nameId": "run-s.p3"})[0] == 201
-    status, answer = submit_sweep(w, "x in 1..10")
+def test_point_ids_and_job_ids_do_not_clash() -> None:
+    world = sweep_world()
+    # A job with the id of a point prevents the sweep; under another id the sweep is accepted.
+    assert world.submit("n0", {**job_submission(1), "nameId": "run-s.p3"})[0] == 201
+    status, answer = submit_sweep(world, "x in 1..10")
     assert status == 422 and "run-s.p" in answer["error"]
-    w.run_until(lambda: "run-s.p3/0" in w.completed_tasks, 60)
-    w.run(3)
-    assert submit_sweep(w, "x in 1..10", "n1")[0] == 422
-    assert submit_sweep(w, "x in 1..10", name="run-t")[0] == 201
-    # And a sweep keeps its points' ids, alive and after its end.
-    status, answer = w.submit("n2", {**job_submission(1), "nameId": "run-t.p3"})
+    world.run_until(lambda: "run-s.p3/0" in world.completed_tasks, 60)
+    world.run(3)
+    assert submit_sweep(world, "x in 1..10", "n1")[0] == 422
+    assert submit_sweep(world, "x in 1..10", name="run-t")[0] == 201
+    # A sweep reserves its points' ids while it is live and after its end.
+    status, answer = world.submit("n2", {**job_submission(1), "nameId": "run-t.p3"})
     assert status == 422 and "belongs to point 3 of sweep run-t" in answer["error"]
-    w.run_until(lambda: over(w, "run-t"), 60)
-    assert w.submit("n2", {**job_submission(1), "nameId": "run-t.p3"})[0] == 422
-    assert w.submit("n2", {**job_submission(1), "nameId": "run-t.p03"})[0] == 201
+    world.run_until(lambda: is_over(world, "run-t"), 60)
+    assert world.submit("n2", {**job_submission(1), "nameId": "run-t.p3"})[0] == 422
+    assert world.submit("n2", {**job_submission(1), "nameId": "run-t.p03"})[0] == 201
 
 
-def test_bad_submissions_are_refused_whole_and_by_name() -> None:
-    w = sweep_world()
+def test_invalid_submissions_are_refused() -> None:
+    world = sweep_world()
 
-    def refused(status: int, told: str, **body: Any) -> None:
+    def refused(status: int, reported: str, **body: Any) -> None:
         full = {"id": "run-s", "space": "x in 1..3", "job": point_job(), **body}
         full = {k: v for k, v in full.items() if v is not None}
-        answer = w.user_request("n0", "POST", "/api/sweeps", full)
-        assert answer[0] == status and told in answer[1]["error"], answer
+        answer = world.user_request("n0", "POST", "/api/sweeps", full)
+        assert answer[0] == status and reported in answer[1]["error"], answer
 
     refused(400, "`id`", id="nightly")
     refused(400, "line 1, column 9: expected", space="x in 1..")
@@ -280,16 +296,16 @@
     refused(422, "${depth} is no parameter", job=point_job(memoryGb="${depth}"))
     refused(422, "there is no field memory", job={**point_job(), "memory": 3})
     refused(413, "longer than", job=point_job(bundle="x" * 9000))
-    assert not w.user_request("n1", "GET", "/api/sweeps")[1]["sweeps"]
-    assert w.user_request("n0", "GET", "/api/sweeps/run-s")[0] == 404
-    w.state.set_outage(True)
-    w.run(4)
-    status, _ = submit_sweep(w, "x in 1..3")
+    assert not world.user_request("n1", "GET", "/api/sweeps")[1]["sweeps"]
+    assert world.user_request("n0", "GET", "/api/sweeps/run-s")[0] == 404
+    world.state.set_outage(True)
+    world.run(4)
+    status, _ = submit_sweep(world, "x in 1..3")
     assert status == 503
 
 
-def test_templates_are_versions_that_do_not_change() -> None:
-    w = sweep_world()
+def test_template_versions_are_immutable() -> None:
+    world = sweep_world()
     template = {
         "name": "reindex",
         "parameters": [
@@ -306,19 +322,19 @@
         ],
         "job": point_job(outfit="${firm}", vcpus="${cpus}", bundle="img-${firm}", rank="${rank}"),
     }
-    put = w.user_request("n0", "POST", "/api/templates", template)
+    put = world.user_request("n0", "POST", "/api/templates", template)
     assert put == (201, {"name": "reindex", "version": 1})
-    assert w.user_request("n1", "POST", "/api/templates", template)[1]["version"] == 1
+    assert world.user_request("n1", "POST", "/api/templates", template)[1]["version"] == 1
     template["parameters"][1]["default"] = 2.0
-    assert w.user_request("n1", "POST", "/api/templates", template)[1]["version"] == 2
-    shown = w.user_request("n2", "GET", "/api/templates/reindex?version=1")[1]
+    assert world.user_request("n1", "POST", "/api/templates", template)[1]["version"] == 2
+    shown = world.user_request("n2", "GET", "/api/templates/reindex?version=1")[1]
     assert shown["parameters"][1]["default"] == 1.0
-    assert w.user_request("n2", "GET", "/api/templates/reindex?version=3")[0] == 404
+    assert world.user_request("n2", "GET", "/api/templates/reindex?version=3")[0] == 404
 
-    def single(status: int, told: str, version: int | None = None, **values: Any) -> None:
-        body = {"nameId": f"run-{len(w.specs)}", "values": values, "version": version}
-        answer = w.user_request("n0", "POST", "/api/templates/reindex/jobs", body)
-        assert answer[0] == status and told in json.dumps(answer[1]), answer
+    def single(status: int, reported: str, version: int | None = None, **values: Any) -> None:
+        body = {"nameId": f"run-{len(world.specs)}", "values": values, "version": version}
+        answer = world.user_request("n0", "POST", "/api/templates/reindex/jobs", body)
+        assert answer[0] == status and reported in json.dumps(answer[1]), answer
 
     single(201, "pending", firm="red", rank="urgent")
     single(422, "parameter firm: not given", cpus=1)
@@ -327,146 +343,164 @@
     single(422, "team blue may not set it; allowed are red", firm="blue", rank="urgent")
     single(422, "has no parameter depth", firm="red", depth=3)
     body = {"id": "run-t", "template": "reindex", "version": 1, "space": 'firm in ["red", "blue"]'}
-    assert w.user_request("n0", "POST", "/api/sweeps", body)[0] == 201
-    w.run_until(lambda: over(w, "run-t"), 60)
-    assert {w.specs[f"run-t.p{k}"]["outfit"] for k in (0, 1)} == {"red", "blue"}
-    assert w.specs["run-t.p1"]["bundle"] == "img-blue" and w.specs["run-t.p1"]["vcpus"] == 1.0
-
-
-def test_a_sweep_neither_gains_nor_loses_against_the_same_jobs_sent_singly() -> None:
-    # Blue has room for four tasks of 2 CPUs, of which a sweep may take no more than single jobs
-    # would; red's single jobs go on beside it.
-    def play(as_sweep: bool) -> tuple[list[float], list[float], float]:
-        w = sweep_world(5, seed=11)
-        w.cloud.capacity = {"small": 5, "gpu": 0}
+    assert world.user_request("n0", "POST", "/api/sweeps", body)[0] == 201
+    world.run_until(lambda: is_over(world, "run-t"), 60)
+    assert {world.specs[f"run-t.p{k}"]["outfit"] for k in (0, 1)} == {"red", "blue"}
+    assert (
+        world.specs["run-t.p1"]["bundle"] == "img-blue" and world.specs["run-t.p1"]["vcpus"] == 1.0
+    )
+
+
+def test_sweep_waits_as_long_as_equal_single_jobs() -> None:
+    # Blue has room for four tasks of 2 CPUs; a sweep may use no more of it than single jobs would,
+    # while red's single jobs run.
+    def run_workload(as_sweep: bool) -> tuple[list[float], list[float], float]:
+        world = sweep_world(5, seed=11)
+        world.cloud.capacity = {"small": 5, "gpu": 0}
         if as_sweep:
-            submit_sweep(w, "x in 1..40", outfit="blue")
+            submit_sweep(world, "x in 1..40", outfit="blue")
         else:
             for n in range(40):
                 spec = {**point_job(outfit="blue"), "nameId": f"run-b{n}"}
-                w.request_controller("n0", "POST", "/api/jobs", w.add_spec(spec), lambda s, b: None)
-        w.run(1)
+                world.request_controller(
+                    "n0", "POST", "/api/jobs", world.add_spec(spec), lambda s, b: None
+                )
+        world.run(1)
         for n in range(30):
             spec = {**point_job(outfit="red"), "nameId": f"run-r{n}"}
-            w.request_controller("n1", "POST", "/api/jobs", w.add_spec(spec), lambda s, b: None)
-        blue: list[float] = []
-        begun = w.now
-        while len(w.completed_tasks) < 70:
-            assert w.now - begun < 300
-            w.run(0.5)
-            live = [t for worker in w.workers.values() for t in worker.live_tasks()]
-            blue.append(sum(w.specs[t.split("/")[0]]["outfit"] == "blue" for t in live))
-        reds = sorted(at for at, task, _ in w.task_starts if task.startswith("run-r"))
-        blues = sorted(at for at, task, _ in w.task_starts if not task.startswith("run-r"))
-        assert max(blue) <= 4
-        return [t - begun for t in reds], [t - begun for t in blues], w.now - begun
-
-    single, sweep = play(False), play(True)
-    for ours, theirs in zip(sweep[:2], single[:2], strict=True):
-        mean_ours, mean_theirs = sum(ours) / len(ours), sum(theirs) / len(theirs)
-        assert abs(mean_ours - mean_theirs) < 0.12 * max(mean_ours, mean_theirs) + 1.0
-
-
-def test_points_that_are_no_jobs_yet_count_for_guarantees() -> None:
-    # Were they forgotten, a later job of the team would seem to fit its guarantee.
-    w = sweep_world(2)
-    w.cloud.capacity = {"small": 2, "gpu": 0}
-    submit_sweep(w, "x in 1..2000", vcpus=4.0)
-    w.run(2)
+            world.request_controller(
+                "n1", "POST", "/api/jobs", world.add_spec(spec), lambda s, b: None
+            )
+        blue_live_counts: list[float] = []
+        started_at = world.now
+        while len(world.completed_tasks) < 70:
+            assert world.now - started_at < 300
+            world.run(0.5)
+            live = [t for worker in world.workers.values() for t in worker.live_tasks()]
+            blue_live_counts.append(
+                sum(world.specs[t.split("/")[0]]["outfit"] == "blue" for t in live)
+            )
+        red_starts = sorted(at for at, task, _ in world.task_starts if task.startswith("run-r"))
+        blue_starts = sorted(
+            at for at, task, _ in world.task_starts if not task.startswith("run-r")
+        )
+        assert max(blue_live_counts) <= 4
+        return (
+            [t - started_at for t in red_starts],
+            [t - started_at for t in blue_starts],
+            world.now - started_at,
+        )
+
+    single, sweep = run_workload(False), run_workload(True)
+    for sweep_starts, single_starts in zip(sweep[:2], single[:2], strict=True):
+        sweep_mean, single_mean = (
+            sum(sweep_starts) / len(sweep_starts),
+            sum(single_starts) / len(single_starts),
+        )
+        assert abs(sweep_mean - single_mean) < 0.12 * max(sweep_mean, single_mean) + 1.0
+
+
+def test_points_without_jobs_count_for_guarantees() -> None:
+    # If they were not counted, a later job of the team would appear to fit its guarantee.
+    world = sweep_world(2)
+    world.cloud.capacity = {"small": 2, "gpu": 0}
+    submit_sweep(world, "x in 1..2000", vcpus=4.0)
+    world.run(2)
     spec = {**point_job(vcpus=1.0), "nameId": "run-late"}
-    w.submit("n0", spec)
-    w.run(1)
-    assert all(not owner.jobs["run-late"].within_guarantee for owner in w.owners.values())
-    assert all(len(owner.jobs) < 450 for owner in w.owners.values())
+    world.submit("n0", spec)
+    world.run(1)
+    assert all(not owner.jobs["run-late"].within_guarantee for owner in world.owners.values())
+    assert all(len(owner.jobs) < 450 for owner in world.owners.values())
     first = [
         owner.jobs["run-s.p0"].within_guarantee
-        for owner in w.owners.values()
+        for owner in world.owners.values()
         if "run-s.p0" in owner.jobs
     ]
     assert first and all(first)
 
 
-def test_explain_works_for_points_that_are_jobs_and_for_those_that_are_not() -> None:
-    w = sweep_world(1)
-    w.cloud.capacity = {"small": 1, "gpu": 0}
-    submit_sweep(w, "x in 1..3000", vcpus=4.0)
-    w.run(3)
+def test_explain_points_with_and_without_jobs() -> None:
+    world = sweep_world(1)
+    world.cloud.capacity = {"small": 1, "gpu": 0}
+    submit_sweep(world, "x in 1..3000", vcpus=4.0)
+    world.run(3)
     for k in (1, 2999):
-        status, answer = w.user_request("n0", "GET", f"/explain/run-s.p{k}")
+        status, answer = world.user_request("n0", "GET", f"/explain/run-s.p{k}")
         assert status == 200 and answer["reasons"], answer
     assert "come first" in answer["reasons"][0]
-    assert w.user_request("n0", "GET", "/api/jobs/run-s.p2999")[1]["standing"] == "pending"
+    assert world.user_request("n0", "GET", "/api/jobs/run-s.p2999")[1]["standing"] == "pending"
 
 
-def test_a_restarted_service_goes_on_with_a_sweep() -> None:
-    w = sweep_world(4)
-    submit_sweep(w, "x in 1..80")
-    w.run_until(lambda: len(w.completed_tasks) > 20, 60)
+def test_sweep_continues_after_all_controllers_restart() -> None:
+    world = sweep_world(4)
+    submit_sweep(world, "x in 1..80")
+    world.run_until(lambda: len(world.completed_tasks) > 20, 60)
     for number in range(3):
-        w.kill_node(f"n{number}")
-    w.run(3)
+        world.kill_node(f"n{number}")
+    world.run(3)
     for number in range(3):
-        w.start_node(number)
-    w.run_until(lambda: over(w), 200)
-    assert len(w.completed_tasks) == 80
-    blocks = [v for k, (v, _, _) in w.state.keys.items() if k.startswith("o/points/run-s/")]
+        world.start_node(number)
+    world.run_until(lambda: is_over(world), 200)
+    assert len(world.completed_tasks) == 80
+    blocks = [v for k, (v, _, _) in world.state.keys.items() if k.startswith("o/points/run-s/")]
     assert sum(taskset.decode(b["done"]).bit_count() for b in blocks) == 80
 
 
 @pytest.mark.parametrize("shape", ["sweep", "ensemble"])
-def test_points_of_several_tasks_are_jobs_as_if_sent_alone(shape: str) -> None:
-    w = sweep_world(6)
-    submit_sweep(w, "x in 1..30", hands=3, shape=shape, vcpus=1.0)
-    w.run_until(lambda: len(w.completed_tasks) > 20, 60)
-    # A few at a time have records of their own; they are found like any other job.
-    assert 0 < sum(k.startswith("s/job/run-s.p") for k in w.state.keys) <= 40
-    live = next(j for o in w.owners.values() for j in o.jobs if j.startswith("run-s.p"))
-    assert w.user_request("n2", "GET", f"/explain/{live}")[0] == 200
-    w.kill_node("n1")
-    w.run(3)
-    w.start_node(1)
-    w.run_until(lambda: over(w), 400)
-    assert sweep_view(w)["done"] == 30 and len(w.completed_tasks) == 90
+def test_points_with_several_tasks_run_as_jobs(shape: str) -> None:
+    world = sweep_world(6)
+    submit_sweep(world, "x in 1..30", hands=3, shape=shape, vcpus=1.0)
+    world.run_until(lambda: len(world.completed_tasks) > 20, 60)
+    # A few points at a time have job records of their own and are found like any other job.
+    assert 0 < sum(k.startswith("s/job/run-s.p") for k in world.state.keys) <= 40
+    live = next(j for o in world.owners.values() for j in o.jobs if j.startswith("run-s.p"))
+    assert world.user_request("n2", "GET", f"/explain/{live}")[0] == 200
+    world.kill_node("n1")
+    world.run(3)
+    world.start_node(1)
+    world.run_until(lambda: is_over(world), 400)
+    assert sweep_view(world)["done"] == 30 and len(world.completed_tasks) == 90
     assert not [
-        k for k in w.state.keys if k.startswith(("s/job", "s/sweep", "s/points", "s/swept"))
+        k for k in world.state.keys if k.startswith(("s/job", "s/sweep", "s/points", "s/swept"))
     ]
-    assert w.user_request("n0", "GET", "/api/jobs/run-s.p29")[1]["standing"] == "done"
+    assert world.user_request("n0", "GET", "/api/jobs/run-s.p29")[1]["standing"] == "done"
 
 
-def test_cancelling_a_sweep_of_large_points_stops_them_all() -> None:
-    w = sweep_world(4)
-    for worker in w.workers.values():
+def test_cancelled_sweep_stops_points_with_several_tasks() -> None:
+    world = sweep_world(4)
+    for worker in world.workers.values():
         worker.task_run_s = 15.0
-    submit_sweep(w, "x in 1..200", hands=4, vcpus=1.0)
-    w.run_until(lambda: any(worker.live_tasks() for worker in w.workers.values()), 30)
-    # One of them is cancelled alone before that, and stays so.
-    first = next(t for _, t, _ in w.task_starts).split("/")[0]
-    assert w.user_request("n1", "POST", f"/api/jobs/{first}/cancel")[1]["standing"] == "aborted"
-    w.run(5)
-    assert w.user_request("n1", "POST", "/api/sweeps/run-s/cancel")[1]["state"] == "aborted"
-    w.run_until(lambda: not any(worker.live_tasks() for worker in w.workers.values()), 20)
-    begun = len(w.task_starts)
-    w.run(20)
-    assert len(w.task_starts) == begun
+    submit_sweep(world, "x in 1..200", hands=4, vcpus=1.0)
+    world.run_until(lambda: any(worker.live_tasks() for worker in world.workers.values()), 30)
+    # A point that was cancelled singly before the sweep stays cancelled.
+    first = next(t for _, t, _ in world.task_starts).split("/")[0]
+    assert world.user_request("n1", "POST", f"/api/jobs/{first}/cancel")[1]["standing"] == "aborted"
+    world.run(5)
+    assert world.user_request("n1", "POST", "/api/sweeps/run-s/cancel")[1]["state"] == "aborted"
+    world.run_until(lambda: not any(worker.live_tasks() for worker in world.workers.values()), 20)
+    start_count = len(world.task_starts)
+    world.run(20)
+    assert len(world.task_starts) == start_count
     for k in (int(first.rpartition(".p")[2]), 0, 5, 199):
-        told = w.user_request("n2", "GET", f"/api/jobs/run-s.p{k}")[1]["standing"]
-        assert told in ("aborted", "done")
-    assert not [k for k in w.state.keys if k.startswith(("s/job/", "s/points/"))]
-
-
-def test_a_controller_that_starts_knows_groups_before_it_has_looked_through_the_sweep() -> None:
-    # Found by the long search: it divided by the number of points it had looked through.
-    w = sweep_world(4)
-    submit_sweep(w, "x in 1..60")
-    w.run_until(lambda: len(w.completed_tasks) > 10, 60)
-    w.kill_node("n0")
-    w.run(3)
-    w.start_node(0)
-    owner = w.owners["n0"]
-    w.run_until(lambda: bool(owner.jobs), 5)
+        reported = world.user_request("n2", "GET", f"/api/jobs/run-s.p{k}")[1]["standing"]
+        assert reported in ("aborted", "done")
+    assert not [k for k in world.state.keys if k.startswith(("s/job/", "s/points/"))]
+
+
+def test_groups_known_before_sweep_is_scanned() -> None:
+    # A restarted controller divided by the number of scanned points, which was still zero, when
+    # claimed points had already defined a group.
+    world = sweep_world(4)
+    submit_sweep(world, "x in 1..60")
+    world.run_until(lambda: len(world.completed_tasks) > 10, 60)
+    world.kill_node("n0")
+    world.run(3)
+    world.start_node(0)
+    owner = world.owners["n0"]
+    world.run_until(lambda: bool(owner.jobs), 5)
     sweep = owner.features[0].sweeps["run-s"]
-    sweep.scanned = 0
+    sweep.scanned_count = 0
     spec = next(iter(owner.jobs.values())).spec
-    sweep.group(spec)
+    sweep.group_of(spec)
     assert all(load[3] >= 0 for load in owner.features[0].unfinished_work())
-    w.run_until(lambda: over(w), 120)
+    world.run_until(lambda: is_over(world), 120)
