--- a/sagecove/sweeps/blocks.py
+++ b/sagecove/sweeps/blocks.py
@@ -312,10 +312,10 @@
         is absent again once it has ended. A first claim that was executed late recreated such a
         block, and points already reported as done were reported as waiting.
         """
-        never_written = (
+        not_ended_condition = (
             [] if self.stamp else [(block_key(ENDED_BLOCK_PREFIX, self.sweep.id, self.number), 0)]
         )
-        return [(self.key, self.stamp), *never_written]
+        return [(self.key, self.stamp), *not_ended_condition]
 
     # -- writing ----------------------------------------------------------------------------------
 
