--- a/sagecove/coordination/leadership.py
+++ b/sagecove/coordination/leadership.py
@@ -6,8 +6,7 @@
 takes over the shard after the lease has expired, or that cancels a job meanwhile, can therefore
 rely on the old holder having stopped.
 
-Every shard has the name of one controller, its default holder. Other controllers hold the shard
-only while the default holder is down.
+Each shard is named after its default holder; other controllers hold it only while that is down.
 """
 
 from __future__ import annotations
@@ -56,11 +55,9 @@
         self.missing_since: dict[str, float] = {}
         self.provisioner_term = 0
         self.returned_at: dict[str, float] = {}
-        # When the default holder of a foreign shard was first seen up. It gets some time to settle
-        # before the shard is handed back.
+        # When a foreign shard's default holder was first seen up: it settles before the hand-back.
         self.default_holder_up_since: dict[str, float] = {}
-        # By node: until when the promise of that peer counts. Authority is extended only while the
-        # promises of all peers are present.
+        # By peer: when its promise ends. Authority is extended only while all peers' promises hold.
         self.peer_promises: dict[str, float] = {}
         self.promises_until = 0.0
         # End of this controller's own promises. Until then it must not act for a shard that it took
@@ -99,8 +96,7 @@
     def receive_promise(self, node: str, sent_at: float, promise: Promise) -> None:
         """Handle a peer's answer to a hint that was sent at `sent_at`.
 
-        Promises extend authority that has not ended. They never restore authority that has ended,
-        because another controller may have taken over since.
+        Promises extend authority but never restore it: another controller may have taken over.
         """
         owner = self.owner
         # Stop the named jobs before counting the promise, so that this controller acts for no job
@@ -142,8 +138,7 @@
             return
         if now >= self.next_renewal_at and not self.renewal_pending:
             self.renewal_pending = True
-            # A refused renewal is retried sooner, because the first one after an outage decides
-            # whether the lease survives.
+            # Refused renewals are retried soon: the first after an outage decides the lease.
             self.next_renewal_at = now + self.lease_s / 8
             self.owner.store.renew_lease(now, self.lease_id, self._on_renewed(now, self.lease_id))
         if self.owner.mirror.loaded and now < self.lease_until:
@@ -194,8 +189,7 @@
     def _retake_own_shard(self) -> None:
         """Record this controller as a member and take its own shard if it has no other holder.
 
-        After a restart the shard is taken at once: its holder was an earlier process of this node,
-        which no longer runs.
+        After a restart it is taken at once: the earlier process of this node no longer runs.
         """
         owner = self.owner
         if not owner.mirror.loaded or self.lease_id is None:
@@ -213,8 +207,7 @@
                     self.lease_id,
                 )
             ]
-            # The condition keeps an older write that is executed late from replacing a newer
-            # record: the other controllers use the limits in it.
+            # An older write executed late must not replace a newer record: peers use its limits.
             conditions = [(MEMBER_PREFIX + node, owner.mirror.revision_of(MEMBER_PREFIX + node))]
             owner.commit(conditions, changes, self._on_member_written, urgent=True)
         item = owner.mirror.items.get(HOLDER_PREFIX + node)
@@ -249,8 +242,7 @@
         ]
         previous = owner.mirror.items.get(key)
         is_ours = (previous.value.node if previous else self._last_holder(shard)) == node
-        # No other controller can be acting for the shard if this node was its last holder or if
-        # the shard has no machines or claims.
+        # No other controller acts for it if this node held it last or it has no machines or claims.
         vacated = is_ours or not owner.shards.shard_in_use(shard)
         # The last-holder record is written even if it already names this node. Otherwise this
         # transaction, executed late, could find the holder key absent and the record unchanged
--- a/sagecove/coordination/users.py
+++ b/sagecove/coordination/users.py
@@ -1,8 +1,7 @@
 """Answers users' submissions, status polls and cancellations.
 
-The final states `done` and `aborted` never change, so they are answered from memory. Any other
-answer, and every 404, requires a read of the state service that began after the request arrived;
-one read serves all waiting requests.
+Final states, `done` and `aborted`, never change and are answered from memory. Any other answer and
+every 404 need a state service read begun after the request arrived; one read serves all waiting.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 from sagecove.coordination.model import JobRun
 from sagecove.coordination.placement import NoRoomCache, type_allowed
 from sagecove.protocol import state as wire
-from sagecove.protocol import users as user_protocol
+from sagecove.protocol import users as api
 from sagecove.protocol.state import Pair
 from sagecove.storage import taskset
 from sagecove.storage.records import (
@@ -52,9 +51,8 @@
         self.owner = owner
         # Final states (state, number of tasks); bounded, and read again once dropped.
         self.final_states: OrderedDict[str, tuple[str, int]] = OrderedDict()
-        # Requests that wait for a read: (number, kind, job id, exchange); for kind `call` the last
-        # is a callback that receives the read's success. Numbers give the order, because the clock
-        # may show the same time when a read is sent and when a later request arrives.
+        # Waiting for a read: (number, kind, job id, exchange or, for `call`, callback for success).
+        # Numbers give the order: a read and a later request may have the same clock time.
         self.waiting_requests: list[tuple[int, str, str, Any]] = []
         self.request_count = 0
         # Open reads of final states: requests that wait for them, and requests that came later.
@@ -70,7 +68,7 @@
 
     def refuse_for_now(self, exchange: Any, reason: str, retry_s: float = 1.0) -> None:
         """Answer 503 with the time after which to retry."""
-        self.reply(exchange, 503, user_protocol.Refusal(reason), retry_s)
+        self.reply(exchange, 503, api.Refusal(reason), retry_s)
 
     def refuse_state_unavailable(self, exchange: Any) -> None:
         """Answer 503 because the state service does not answer."""
@@ -78,9 +76,8 @@
         self.refuse_for_now(exchange, "the state service does not answer", retry_s)
 
     def remember_final_state(self, job_id: str, state: str, tasks: int, revision: int) -> None:
-        """Remember a final state that is durable at a revision. Every cancellation passes here
-        before a user is told of it."""
-        if state == user_protocol.CANCELLED:
+        """Remember a final state durable at `revision`. Cancellations pass here before a reply."""
+        if state == api.CANCELLED:
             self.owner.cancellations.record_confirmed(job_id, revision)
         self.final_states[job_id] = (state, tasks)
         self.final_states.move_to_end(job_id)
@@ -90,21 +87,21 @@
     def _reply_final_state(self, kind: str, job_id: str, exchange: Any) -> None:
         state, tasks = self.final_states[job_id]
         if kind == "status":
-            done = tasks if state == user_protocol.DONE else 0
-            self.reply(exchange, 200, user_protocol.JobStatus(job_id, state, done, 0))
+            done = tasks if state == api.DONE else 0
+            self.reply(exchange, 200, api.JobStatus(job_id, state, done, 0))
         else:
-            self.reply(exchange, 200, user_protocol.JobStatus(job_id, state))
+            self.reply(exchange, 200, api.JobStatus(job_id, state))
 
     def _reply_live_state(self, kind: str, job: JobRun, exchange: Any) -> None:
         owner = self.owner
         done = (job.finished | job.finished_unrecorded).bit_count()
         running = job.running_count
         running += owner.peers.running_elsewhere(job.id)
-        state = user_protocol.RUNNING if running else user_protocol.PENDING
+        state = api.RUNNING if running else api.PENDING
         if kind == "status":
-            self.reply(exchange, 200, user_protocol.JobStatus(job.id, state, done, running))
+            self.reply(exchange, 200, api.JobStatus(job.id, state, done, running))
         else:
-            self.reply(exchange, 200, user_protocol.JobStatus(job.id, state))
+            self.reply(exchange, 200, api.JobStatus(job.id, state))
 
     # -- requests -------------------------------------------------------------------------------
 
@@ -112,15 +109,15 @@
         """Handle the submission of a job."""
         owner = self.owner
         try:
-            job = user_protocol.decode_job(body)
+            job = api.decode_job(body)
         except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-            self.reply(exchange, 400, user_protocol.Refusal(str(error)[:300]))
+            self.reply(exchange, 400, api.Refusal(str(error)[:300]))
             return
         # An id reserved by a feature can't have been accepted: guards are part of the transaction.
         guards = [feature.submission_guard(job.id) for feature in owner.features]
         refusal = next((guard for guard in guards if isinstance(guard, str)), None)
         if refusal is not None:
-            self.reply(exchange, 422, user_protocol.Refusal(refusal))
+            self.reply(exchange, 422, api.Refusal(refusal))
             return
         # Known jobs are answered first: they were accepted, even if they would be refused now.
         if job.id in self.final_states:
@@ -156,7 +153,7 @@
             job, exchange, [guard for guard in guards if isinstance(guard, SubmissionGuard)]
         )
 
-    def impossible_reason(self, job: user_protocol.Job) -> str | None:
+    def impossible_reason(self, job: api.Job) -> str | None:
         """Return why a job can never run, or None if it can."""
         owner = self.owner
         team = owner.limits.teams.get(job.team)
@@ -169,40 +166,35 @@
         ]
         if not fitting:
             return "a task fits no allowed machine type"
-        count = 1 if job.kind == user_protocol.ARRAY else job.tasks
+        count = 1 if job.kind == api.ARRAY else job.tasks
         if count * job.cpus > team.cpus_max + 1e-6 or count * job.gpus > team.gpus_max + 1e-6:
             return f"needs more than the limit of team {job.team}"
-        if job.spread and job.tasks > 1 and job.kind != user_protocol.ARRAY:
+        if job.spread and job.tasks > 1 and job.kind != api.ARRAY:
             zones = {z for t in fitting for z in t.zones if job.zone in (None, z)}
             if job.one_zone or len(zones) < 2:
                 return "its tasks can't be both apart in zones and all in one"
         return None
 
-    def _write_submission(
-        self, spec: user_protocol.Job, exchange: Any, guards: list[SubmissionGuard]
-    ) -> None:
+    def _write_submission(self, job: api.Job, exchange: Any, guards: list[SubmissionGuard]) -> None:
         """Write a submission, with a claim if this controller has room for the job."""
         owner = self.owner
-        job_id = spec.id
+        job_id = job.id
         self.open_submissions[job_id] = [exchange]
-        record = JobRecord(spec, owner.wall())
+        record = JobRecord(job, owner.wall())
         own_conditions = [(JOB_PREFIX + job_id, 0), (FINAL_STATE_PREFIX + job_id, 0)]
-        guard_changes: list[wire.Put | wire.Delete] = []
+        additional: list[wire.Put | wire.Delete] = []
         for guard in guards:
             own_conditions += guard.conditions
-            guard_changes += guard.changes
+            additional += guard.changes
         conditions = list(own_conditions)
-        changes: list[wire.Put | wire.Delete] = [
-            wire.Put(JOB_PREFIX + job_id, record),
-            *guard_changes,
-        ]
+        changes: list[wire.Put | wire.Delete] = [wire.Put(JOB_PREFIX + job_id, record), *additional]
         job_run = JobRun(record, 0)
         job_run.first_seen_at = owner.now
         if job_run.service:
             owner.estimates.update_avoided_types(job_run)
         claim = self._claim_at_submission(job_run)
         if claim is not None:
-            changes = [claim[0], *guard_changes]
+            changes = [claim[0], *additional]
             conditions.append(claim[1])
 
         def done(result: Result) -> None:
@@ -210,7 +202,7 @@
                 own_keys = [key for key, _ in own_conditions]
                 if not any(key in own_keys for key in result.failed):
                     put = wire.Put(JOB_PREFIX + job_id, record)
-                    owner.commit(own_conditions, [put, *guard_changes], stored, urgent=True)
+                    owner.commit(own_conditions, [put, *additional], stored, urgent=True)
                     return
             stored(result)
 
@@ -220,14 +212,14 @@
                 log.info(
                     "accepted job=%s team=%s class=%s tasks=%d",
                     job_id,
-                    spec.team,
-                    spec.klass,
-                    spec.tasks,
+                    job.team,
+                    job.klass,
+                    job.tasks,
                 )
                 for waiter in waiters[:1]:
-                    self.reply(waiter, 201, user_protocol.JobStatus(job_id, user_protocol.PENDING))
+                    self.reply(waiter, 201, api.JobStatus(job_id, api.PENDING))
                 for waiter in waiters[1:]:
-                    self.reply(waiter, 200, user_protocol.JobStatus(job_id, user_protocol.PENDING))
+                    self.reply(waiter, 200, api.JobStatus(job_id, api.PENDING))
             elif result.outcome is Outcome.CONFLICT:
                 for waiter in waiters:
                     self.answer_after_read("submit", job_id, waiter)
@@ -286,8 +278,8 @@
     def answer_after_read(self, kind: str, job_id: str, exchange: Any) -> None:
         """Answer from memory if the state is final, else after a read that begins from now on."""
         owner = self.owner
-        if not user_protocol.JOB_ID_PATTERN.match(job_id):
-            self.reply(exchange, 404, user_protocol.Refusal("no such job"))
+        if not api.JOB_ID_PATTERN.match(job_id):
+            self.reply(exchange, 404, api.Refusal("no such job"))
         elif job_id in self.final_states:
             self._reply_final_state(kind, job_id, exchange)
         elif not owner.sync.connected():
@@ -332,9 +324,7 @@
                 if kind == "cancel":
                     self.refuse_for_now(exchange, "the job's record can't be read here", 5.0)
                 else:
-                    self.reply(
-                        exchange, 200, user_protocol.JobStatus(job_id, user_protocol.PENDING)
-                    )
+                    self.reply(exchange, 200, api.JobStatus(job_id, api.PENDING))
             elif job_id in self.final_states:
                 self._reply_final_state(kind, job_id, exchange)
             elif not any(f.answer_unknown_job(kind, job_id, exchange) for f in owner.features):
@@ -370,11 +360,11 @@
                 elif kind.startswith(REFUSAL_PREFIX):
                     code, _, reason = kind.removeprefix(REFUSAL_PREFIX).partition(":")
                     log.info("refused job=%s why=%s", job_id, reason)
-                    self.reply(exchange, int(code), user_protocol.Refusal(reason))
+                    self.reply(exchange, int(code), api.Refusal(reason))
                 elif kind == "submit":
                     self.refuse_for_now(exchange, "try again")
                 else:
-                    self.reply(exchange, 404, user_protocol.Refusal("no such job"))
+                    self.reply(exchange, 404, api.Refusal("no such job"))
             queued = self.queued_reads.pop(job_id, [])
             if job_id in self.final_states:
                 for kind, exchange in queued:
@@ -389,22 +379,18 @@
         if job.durable_state is not None:
             job.durable_state.cancel(job, exchange)
             return
-        # Not conditional on the record's revision: claims and results change it all the time, so
-        # cancelling a job with many tasks conflicted without end. It is enough that the job was
-        # accepted and is not over when the transaction is executed.
+        # Not conditional on the record's revision: claims and results change it all the time, so a
+        # large job's cancellation conflicted without end. Accepted and not over now is enough.
         changes: list[wire.Put | wire.Delete] = [
             wire.Delete(JOB_PREFIX + job.id),
-            wire.Put(
-                FINAL_STATE_PREFIX + job.id,
-                FinalStateRecord(user_protocol.CANCELLED, job.spec.tasks),
-            ),
+            wire.Put(FINAL_STATE_PREFIX + job.id, FinalStateRecord(api.CANCELLED, job.spec.tasks)),
         ]
 
         def done(result: Result) -> None:
             if result.outcome is Outcome.DONE:
                 log.info("cancelled job=%s", job.id)
                 owner.peers.announce_cancellation(job.id)
-                self.reply(exchange, 200, user_protocol.JobStatus(job.id, user_protocol.CANCELLED))
+                self.reply(exchange, 200, api.JobStatus(job.id, api.CANCELLED))
             elif result.outcome is Outcome.CONFLICT:
                 # The job is over.
                 self.answer_after_read("cancel", job.id, exchange)
