--- a/sagecove/coordination/claims/claimer.py
+++ b/sagecove/coordination/claims/claimer.py
@@ -29,7 +29,7 @@
 from sagecove.storage.store import Outcome, Result
 
 CLAIM_BATCH_COUNT = 4  # open claims at one time (the paper's batchSize: claims of one poll)
-TURNS = 12  # controllers that lost the race for a record retry in turn, so many in a poll
+RETRY_TURN_COUNT = 12  # controllers that lost the race for a record retry in turn: turns per poll
 LARGE_TASK_COUNT = 1000  # records of smaller arrays fit any value, in whatever order tasks finish
 REQUEST_TASK_COUNT = 200  # tasks of an array in one request for more of its team's limit
 
@@ -165,8 +165,7 @@
             )
         if job.claimed_whole and count < wanted and not job.gang and waited_s > self.state.poll_s:
             count = wanted if count else 0  # a whole service starts with the room there is
-        if job.judged_faulty:
-            # One task is enough to probe a faulty job, and nothing is preempted for it.
+        if job.judged_faulty:  # one task is enough to probe it, and nothing is preempted for it
             count = min(count, wanted if job.claimed_whole else 1)
         elif self.state.preemption_due and count < wanted and waited_s > self.state.poll_s / 3:
             allowed = self.preemptor.cap(job, self.limits.claimable(shard.name, job.spec, wanted))
@@ -350,7 +349,9 @@
             self.context.count("claim_conflicts")
             self.sync.request_sync()
             if lost_race and job.array:
-                job.claim_after = self.context.now + self._turn(job) * self.state.poll_s / TURNS
+                job.claim_after = (
+                    self.context.now + self._turn(job) * self.state.poll_s / RETRY_TURN_COUNT
+                )
             else:
                 job.claim_after = (
                     self.context.now + self.context.random.uniform(0.1, 1.0) * self.state.poll_s
@@ -360,8 +361,7 @@
         self.context.commit(conditions, [change], done)
 
     def _turn(self, job: JobRun) -> float:
-        """Returns this controller's turn to retry a record: the losers of a race retry one after
-        the other, in an order that depends on the job, not all at once again."""
+        """Returns when to retry a record: losers retry in turn, ordered by job, not all at once."""
         nodes = sorted(self.context.settings.nodes, key=lambda n: crc32(f"{job.id} {n}".encode()))
         turn = nodes.index(self.context.settings.node)
         return turn + self.context.random.uniform(0.5, 1.0)
