--- a/sagecove/coordination/__init__.py
+++ b/sagecove/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""The one owner of all state in a process. No I/O: time and randomness are passed in."""
+"""State and decisions of a controller. Does no I/O; time and random numbers are passed in."""
--- a/sagecove/coordination/backlog.py
+++ b/sagecove/coordination/backlog.py
@@ -1,4 +1,4 @@
-"""Sorts waiting jobs so that a scheduling pass looks only at those it may do something for.
+"""Sorts and groups waiting jobs so that a scheduling pass examines only those it may advance.
 
 Most jobs of a backlog are resting: arrays of which no task is claimed, placed or being claimed, so
 that all there is to do is to claim a task once there is room. Resting jobs with the same needs,
--- a/sagecove/coordination/claims/pass_state.py
+++ b/sagecove/coordination/claims/pass_state.py
@@ -17,7 +17,7 @@
 
 
 class PassState:
-    """What a pass knows about one shard. Most of it is reset for each shard of each pass."""
+    """State of a pass for one shard. Most of it is reset for each shard of each pass."""
 
     def __init__(self, context: OwnerContext, ledger: Ledger, policy: PreemptionPolicy) -> None:
         self.context = context
--- a/sagecove/coordination/claims/scheduling_pass.py
+++ b/sagecove/coordination/claims/scheduling_pass.py
@@ -1,4 +1,4 @@
-"""The scheduling pass: claims, places and preempts for all jobs that may need it, in precedence.
+"""The scheduling pass: claims, places and preempts for jobs in order of precedence.
 
 Each pass computes everything anew from the mirror and the machines, so a lost race or a lost answer
 needs no special handling: the next pass starts from the state known then.
--- a/sagecove/coordination/effects.py
+++ b/sagecove/coordination/effects.py
@@ -1,4 +1,4 @@
-"""Inputs of the owner (commands) and its outputs (effects)."""
+"""Defines the owner's inputs (commands) and outputs (effects)."""
 
 import dataclasses
 from typing import Any
--- a/sagecove/coordination/explain.py
+++ b/sagecove/coordination/explain.py
@@ -42,7 +42,7 @@
 
 
 class PeerReports(Protocol):
-    """What peers reported in their hints."""
+    """Interface to what peers reported in their hints."""
 
     def running_elsewhere(self, job_id: str) -> int:
         """Return the number of a job's tasks that run on other controllers' machines."""
@@ -59,7 +59,7 @@
 
 
 class ExplainContext(OwnerContext, Protocol):
-    """What the views need from the owner."""
+    """Interface that the views require of the owner."""
 
     mirror: Mirror
     limits: TeamLimits
@@ -75,7 +75,7 @@
 
     @property
     def peers(self) -> PeerReports:
-        """What peers reported."""
+        """Return what peers reported."""
 
     @property
     def sync(self) -> StateServiceStatus:
--- a/sagecove/coordination/failures.py
+++ b/sagecove/coordination/failures.py
@@ -32,7 +32,7 @@
         self.machines_to_return: dict[str, Machine] = {}
 
     def fails_everywhere(self, job: JobRun) -> bool:
-        """Tell whether the job fails everywhere, as seen by this controller or told by a peer."""
+        """Return whether the job fails everywhere, as seen here or reported by a peer."""
         return job.judged_faulty or (
             not has_completed_tasks(job) and self.context.now - job.peer_judged_faulty_at < 5.0
         )
@@ -125,5 +125,5 @@
 
 
 def has_completed_tasks(job: JobRun) -> bool:
-    """Tell whether tasks of the job have completed, which proves that the job can run."""
+    """Return whether tasks of the job have completed, which proves that the job can run."""
     return bool(job.finished | job.finished_unrecorded)
--- a/sagecove/coordination/images.py
+++ b/sagecove/coordination/images.py
@@ -1,7 +1,7 @@
 """Tracks which machines have a container image cached, here and at peers, so that few are fetched.
 
 No report tells what a machine has cached; it is inferred from the tasks seen running there. Only
-the choice of a machine depends on it, and for a moment that of a controller.
+the choice of a machine depends on it, and briefly which controller claims a job.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class Images:
-    """Free room on machines that have an image cached, on own shards and as told by peers."""
+    """Tracks free room on machines with an image cached, on own shards and at peers."""
 
     def __init__(self, context: OwnerContext, ledger: Ledger) -> None:
         self.context = context
@@ -59,7 +59,7 @@
         self.peer_rooms: dict[str, tuple[list[ImageRoom], float]] = {}
 
     def fetch_s(self, spec: Job) -> float:
-        """How long a machine takes to fetch a job's image, with no other fetch beside it."""
+        """Return how long a machine takes to fetch a job's image if it fetches nothing else."""
         rates = [
             t.fetch_gb_per_s
             for t in self.context.machine_types.values()
@@ -92,7 +92,7 @@
         self.peer_rooms[node] = warm, now
 
     def peer_has_room(self, job: JobRun, count: int) -> bool:
-        """Tell whether a peer has room for `count` tasks of a job on machines with its image.
+        """Return whether a peer has room for `count` tasks of a job on machines with its image.
 
         If the job is restricted to one zone, so is the room.
         """
--- a/sagecove/coordination/interfaces.py
+++ b/sagecove/coordination/interfaces.py
@@ -52,7 +52,7 @@
 
 
 class BacklogContext(BaseContext, Protocol):
-    """What the backlog needs from the owner."""
+    """Interface that the backlog requires of the owner."""
 
     @property
     def failures(self) -> FailureJudge:
@@ -71,7 +71,7 @@
 
 
 class EstimatesContext(BaseContext, Protocol):
-    """What the estimates need from the owner."""
+    """Interface that the estimates require of the owner."""
 
     @property
     def claim_totals(self) -> BorrowingLevels:
--- a/sagecove/coordination/inventory.py
+++ b/sagecove/coordination/inventory.py
@@ -14,7 +14,7 @@
 
 
 class WorkerTables(Protocol):
-    """What is known about machines from their workers' reports."""
+    """Interface that the inventory requires of `Workers`."""
 
     # By machine name: when its record was deleted.
     deleted_at: dict[str, float]
--- a/sagecove/coordination/ledger.py
+++ b/sagecove/coordination/ledger.py
@@ -54,7 +54,7 @@
 
 
 class LedgerContext(BaseContext, Protocol):
-    """What the ledger needs from its owner."""
+    """Interface that the ledger requires of its owner."""
 
     held_shards: dict[str, Shard]
     machines_by_shard: dict[str, dict[str, Machine]]
@@ -65,7 +65,7 @@
 
     @property
     def claim_totals(self) -> ClaimObserver:
-        """What teams claim across all shards."""
+        """Return what teams claim across all shards."""
 
 
 class ShardAccount:
--- a/sagecove/coordination/limits/claim_totals.py
+++ b/sagecove/coordination/limits/claim_totals.py
@@ -1,4 +1,4 @@
-"""What teams claim across all shards, and what they are owed or borrow as a result.
+"""Computes what teams claim across all shards, and what they are owed or borrow as a result.
 
 Claims are durable and every controller reads them, so all controllers compute the same totals but
 for a moment's delay. From the totals follow what a team is owed, what it borrows beyond its
--- a/sagecove/coordination/limits/guarantees.py
+++ b/sagecove/coordination/limits/guarantees.py
@@ -1,7 +1,7 @@
 """Decides which jobs are within their teams' guarantees.
 
-A job is within the guarantee if it fits it together with the team's earlier jobs. This follows from
-durable submissions alone, so every controller decides the same.
+A job is within the guarantee if it and the team's earlier jobs together fit into it. This follows
+from durable submissions alone, so every controller decides the same.
 
 A resource of which a team is guaranteed nothing does not bound what it is guaranteed of the other
 resource, and is not owed either: GPUs are owed to no team that is guaranteed CPUs only, and CPUs
--- a/sagecove/coordination/limits/records.py
+++ b/sagecove/coordination/limits/records.py
@@ -34,7 +34,7 @@
 
 
 class ShardTransfers(msgspec.Struct, omit_defaults=True):
-    """What one shard has transferred to others from its part of a limit.
+    """The amounts that one shard has transferred to others from its part of a limit.
 
     `given` only grows within an epoch, so a reader with an old record underestimates the receiver's
     share and never overestimates it.
--- a/sagecove/coordination/limits/team_limits.py
+++ b/sagecove/coordination/limits/team_limits.py
@@ -37,14 +37,14 @@
 
 # A team is near its limit unless more than this fraction of the limit is unclaimed.
 NEAR_LIMIT_FRACTION = 0.25
-# The amount that stands for no limit.
+# The amount that represents no limit.
 UNLIMITED_MILLIONTHS = to_millionths(UNLIMITED_AMOUNT)
 # This fraction of a limit may have been freed by completions that are not known here yet.
 UNKNOWN_COMPLETIONS_FRACTION = 1 / 16
 
 
 class ShardUsage(Protocol):
-    """What tasks and claims take in a shard held here (CPUs, GPUs in millionths)."""
+    """Usage by tasks and claims in a shard held here (CPUs, GPUs in millionths)."""
 
     def used_millionths(self, shard: str, team: str) -> ResourceAmount:
         """Return an upper bound of what a team's tasks take on the shard's machines."""
@@ -347,7 +347,7 @@
             planned = by_giver.get(shard.name)
             if planned is None or shard.name in shares.pending:
                 continue
-            # The plan goes by claims on record; the tasks here may take more than that.
+            # The plan is based on recorded claims; the tasks here may take more than that.
             rest = maximum(
                 ZERO, subtract(shares.share(shard.name), self.committed(shard.name, team))
             )
--- a/sagecove/coordination/limits/team_shares.py
+++ b/sagecove/coordination/limits/team_shares.py
@@ -1,4 +1,4 @@
-"""How a team's limit is shared among shards, computed from durable records alone.
+"""Computes each shard's share of a team's limit from durable records alone.
 
 A shard's share is its part of the limit split, plus what other shards have transferred to it, minus
 what it has transferred to others. Each transfer record has one writer, the holder of the shard
@@ -42,7 +42,7 @@
 
     @property
     def fully_adopted(self) -> bool:
-        """Whether all shards have adopted the split, so that none uses more than its part."""
+        """Return whether all shards adopted the split, so that none uses more than its part."""
         if self._fully_adopted is None:
             split = self.split
             self._fully_adopted = split is not None and (
@@ -80,7 +80,7 @@
             return maximum(ZERO, self._apply_transfers(shard, record, part, self.epoch))
         if record is not None and record.epoch == self.epoch:
             return minimum(part, record.hold or ZERO)
-        # A share may grow only once no shard goes by the previous split any more.
+        # A share may grow only once no shard uses the previous split any more.
         return minimum(part, maximum(ZERO, self.previous_share(shard, record)))
 
     def previous_share(self, shard: str, record: ShardTransfers | None) -> ResourceAmount:
--- a/sagecove/coordination/limits/transfer_writer.py
+++ b/sagecove/coordination/limits/transfer_writer.py
@@ -1,6 +1,6 @@
 """Writes the transfer records of shards held here, under the shard's term.
 
-The holder goes by a record from the moment it decides to write it.
+The holder applies a transfer from the moment it decides to write the record.
 """
 
 from __future__ import annotations
--- a/sagecove/coordination/mirror_sync.py
+++ b/sagecove/coordination/mirror_sync.py
@@ -84,8 +84,8 @@
             log.info("loaded keys=%d ledger=%d", len(self.owner.mirror.items), self.load_revision)
 
     def _track_readable(self, key: str, value: object) -> None:
-        """Keep track of job records that can't be decoded. Otherwise users would be told that such
-        a job does not exist.
+        """Keep track of job records that can't be decoded. Otherwise users would get a 404 for such
+        a job.
         """
         if value is not None:
             self.unreadable_job_keys.discard(key)
--- a/sagecove/coordination/model.py
+++ b/sagecove/coordination/model.py
@@ -291,8 +291,8 @@
         self.return_due_at: float | None = None
         self.committing = False
         self.next_return_try_at = -1e9
-        # When a peer heard from it; when it was redirected, or reported here, as another's machine.
-        self.peer_heard_at = self.redirected_at = self.foreign_report_at = -1e9
+        # When it reported to a peer; was redirected, or reported here, as another's machine.
+        self.peer_report_at = self.redirected_at = self.foreign_report_at = -1e9
         # (session, seq) of its newest report received while another controller held it.
         self.foreign_report_order = (0, 0)
         self.relaying = False
--- a/sagecove/coordination/owner.py
+++ b/sagecove/coordination/owner.py
@@ -167,7 +167,7 @@
         """Process a batch of commands and return the resulting effects."""
         if now - self.now > PROCESS_PAUSE_S:
             # The process was paused or starved while its clocks ran on. Leases are checked against
-            # the time after the pause; what peers told, and workers' silence, is out of date.
+            # the time after the pause; peers' reports and workers' silence are out of date.
             log.info("stood still seconds=%.1f", now - self.now)
             self.running_since = now
             self.peers.hints.clear()
--- a/sagecove/coordination/peers.py
+++ b/sagecove/coordination/peers.py
@@ -44,7 +44,7 @@
 class HolderReport(NamedTuple):
     """The machines that report to the holder of a shard, and whether the list is complete."""
 
-    heard: Sequence[set[str]]
+    reporting: Sequence[set[str]]
     complete: bool
 
 
@@ -223,7 +223,7 @@
                 job.peer_judged_faulty_at = self.owner.now
         for name in hint.strangers:
             if (machine := self.owner.machines.get(name)) is not None:
-                machine.peer_heard_at = self.owner.now
+                machine.peer_report_at = self.owner.now
         if any(job_id in self.owner.jobs for job_id in hint.cancelled):
             self.owner.cancellations.stop_reported(hint.cancelled)
             self.owner.sync.request_sync()
@@ -277,15 +277,15 @@
         hint = self.hints.get(holder or "")
         if holder is None or hint is None or self.owner.now - hint[0] >= 5.0:
             return HolderReport((), holder == self.owner.settings.node)
-        heard_by_part = [hint_part.heard for hint_part in self.hint_parts.get(holder, ())]
+        reporting_by_part = [hint_part.heard for hint_part in self.hint_parts.get(holder, ())]
         return HolderReport(
-            heard_by_part, self.has_all_parts(holder) or holder == self.owner.settings.node
+            reporting_by_part, self.has_all_parts(holder) or holder == self.owner.settings.node
         )
 
     def _boot_status(self, machine: Machine, holder_report: HolderReport) -> str:
         if machine.tasks_known:
             return "up"
-        for names in holder_report.heard:
+        for names in holder_report.reporting:
             if machine.name in names:
                 return "up"
         boot_s = machine.machine_type.boot_s if machine.machine_type else 30.0
--- a/sagecove/coordination/preemption_policy.py
+++ b/sagecove/coordination/preemption_policy.py
@@ -1,9 +1,8 @@
 """Decides which tasks may be preempted for a job, and which are worth preempting.
 
 PROTOCOL and the precedence of jobs decide what may be preempted. An array task that ends by the
-time its room is needed is not worth it, and one that was preempted before is spared for longer each
-time.
-Services and gangs wait for no task. See docs/design-preemption.md.
+time its room is needed is not worth preempting, and one that was preempted before is spared for
+longer each time. Services and gangs do not wait for tasks to end. See docs/design-preemption.md.
 """
 
 from __future__ import annotations
--- a/sagecove/coordination/reachability.py
+++ b/sagecove/coordination/reachability.py
@@ -1,8 +1,8 @@
 """Detects workers that don't receive this controller's answers, and reports that are out of date.
 
 A report proves neither that answers arrive nor that it was sent just now: answers may be lost on
-their way, and a report may be a delayed copy. What proves that answers arrive is their visible
-effect: a launched task, an adopted token, a session that goes on.
+their way, and a report may be a delayed copy. Only their visible effect proves that answers
+arrive: a launched task, an adopted token, a session that continues.
 
 - *Unreachable machines*: launches carried by the answers to three reports in a row don't show in
   the reports after them. From then on nothing is placed on the machine, and its reports are not
--- a/sagecove/coordination/task_ends.py
+++ b/sagecove/coordination/task_ends.py
@@ -1,4 +1,4 @@
-"""Logs how tasks end: which work was lost, and for whom a task was stopped.
+"""Logs how tasks end: which work was lost, and for which job a task was stopped.
 
 Each task that ends without completing gets a line of its own; completed tasks are summed up at
 intervals. `sagecove lab waste` reads both kinds of lines.
--- a/sagecove/coordination/uncertain_launches.py
+++ b/sagecove/coordination/uncertain_launches.py
@@ -80,9 +80,9 @@
                 continue
             self.raise_token(machine)
             # If nobody can write to the state service, a task of a cancelled job could start long
-            # after its user was told that it is cancelled: the worker's lease is renewed all
-            # through the outage, by way of another controller. So the worker is not answered any
-            # more, and its session ends with all that was sent to it.
+            # after its cancellation was confirmed to the user: another controller renews the
+            # worker's lease throughout the outage. So the worker is no longer answered, and its
+            # session ends with all that was sent to it.
             if now >= machine.unanswered_until and any(
                 self._must_end_session(now, p) for p in unwanted
             ):
--- a/sagecove/coordination/workers.py
+++ b/sagecove/coordination/workers.py
@@ -264,7 +264,7 @@
 
     @staticmethod
     def _is_newest(machine: Machine, report: worker_protocol.Report) -> bool:
-        """Tell whether a report was sent after all that were seen of this machine.
+        """Return whether a report was sent after all that were seen of this machine.
 
         The token is compared, too, as a worker's token only grows: a delayed copy from before a
         restart may have a larger session.
@@ -345,7 +345,7 @@
 
     @staticmethod
     def _has_nothing_due(machine: Machine) -> bool:
-        """Tell whether the same report again would change nothing and needs no command."""
+        """Return whether the same report again would change nothing and needs no command."""
         return (
             machine.tasks_known
             and not machine.unknown_tasks
@@ -581,7 +581,7 @@
                     next_check_at = min(next_check_at, machine.last_answer_at + self.lease_expiry_s)
             self.next_check_at[shard.name] = next_check_at
             # Time in which this process was not running, or didn't hold the shard, is no silence.
-            heard_since = max(shard.held_since, owner.running_since)
+            reports_expected_since = max(shard.held_since, owner.running_since)
             silent_machines = [
                 m
                 for m in machines
@@ -611,14 +611,14 @@
             # When many machines fall silent at once, the fault is more likely in this controller or
             # in the network.
             reported_machines = [m for m in machines if m.ever_reported]
-            heard_count = sum(
+            reporting_count = sum(
                 1
                 for m in reported_machines
                 if now - m.last_report_at < 1.5 * self.worker_settings.report_s
             )
             many_silent = len(silent_machines) > max(
                 2, len(machines) // 4
-            ) or 2 * heard_count < len(reported_machines)
+            ) or 2 * reporting_count < len(reported_machines)
             cut_off_zones = self._find_cut_off_zones(now, machines)
             for machine in silent_machines:
                 # The wait is bounded: a shard of which most machines had died kept them for ever.
@@ -628,9 +628,9 @@
                 elif machine.record.zone in cut_off_zones:
                     allowed_silence_s = max(allowed_silence_s, self.worker_settings.lease_s)
                 if (
-                    now - max(machine.last_report_at, heard_since) > allowed_silence_s
+                    now - max(machine.last_report_at, reports_expected_since) > allowed_silence_s
                     and not machine.record.leaving
-                    and now - machine.peer_heard_at > self.silence_limit_s
+                    and now - machine.peer_report_at > self.silence_limit_s
                 ):
                     self.mark_for_return(machine, "silent")
         for name, machine in list(owner.failures.machines_to_return.items()):
@@ -693,7 +693,7 @@
     # -- commands -------------------------------------------------------------------------------
 
     def can_reap(self, placement: Placement) -> bool:
-        """Tell whether the worker may forget an exited task.
+        """Return whether the worker may forget an exited task.
 
         It may once no launch of the task is under way and its result is durable.
         """
--- a/sagecove/lab/fakes.py
+++ b/sagecove/lab/fakes.py
@@ -18,7 +18,7 @@
 
 
 class FakeEnvironment(Protocol):
-    """What the fakes need from their environment. Times are seconds of the environment's clock."""
+    """Environment that the fakes require. Times are seconds of the environment's clock."""
 
     random: Random
     workers: "dict[str, FakeWorker]"
--- a/sagecove/lab/rule_checker.py
+++ b/sagecove/lab/rule_checker.py
@@ -145,7 +145,7 @@
                 raise RuleViolation(f"waiting {job_id}: there is room for it")
 
     def _could_start(self, spec: dict[str, Any], used_cpus: dict[str, float]) -> bool:
-        """Tell whether all tasks of a job, or one of an array, fit on the machines as they are."""
+        """Return whether all tasks of a job, or one of an array, fit on the current machines."""
         tasks_at_once = 1 if spec["shape"] == "sweep" else int(spec["hands"])
         team = next(t for t in self.teams if t["name"] == spec["outfit"])
         cpu_limit = team["cpus_max"] or float("inf")
--- a/sagecove/storage/store.py
+++ b/sagecove/storage/store.py
@@ -1,4 +1,4 @@
-"""Builds requests to the state service and paces them by token buckets; the transport sends them.
+"""Builds requests to the state service and limits their rate; the transport sends them.
 
 A transaction ends in one of these outcomes: done, conflict (a condition failed), refused (surely
 not executed), unknown (possibly executed, now or later) and no lease (answered with 400).
@@ -106,7 +106,7 @@
 
     @property
     def queued(self) -> bool:
-        """Whether transactions wait to be sent."""
+        """Return whether transactions wait to be sent."""
         return bool(self.waiting or self.urgent)
 
     def writes_scarce(self, now: float) -> bool:
