--- a/sagecove/coordination/claims/claimer.py
+++ b/sagecove/coordination/claims/claimer.py
@@ -314,8 +314,8 @@
             part -= tasks_fitting(spec, (kind.cpus, kind.gpus, kind.memory_gb))
             room = unpromised_room(machine, promised)
             held = promised.setdefault(machine.name, [0.0, 0.0, 0.0])
-            for n in range(3):
-                held[n] += max(0.0, room[n])
+            for resource in range(3):
+                held[resource] += max(0.0, room[resource])
 
     def claim(self, job: JobRun, shard: Shard, bits: int) -> None:
         """Writes a claim on tasks for a shard, within its share of the team's limit."""
--- a/sagecove/coordination/claims/pass_state.py
+++ b/sagecove/coordination/claims/pass_state.py
@@ -117,8 +117,8 @@
         for placement in reclaimable:
             if placement.job is not None:
                 room = found.setdefault(placement.machine.name, [0.0, 0.0, 0.0])
-                for n, amount in enumerate(task_resources(placement.job)):
-                    room[n] += amount
+                for resource, amount in enumerate(task_resources(placement.job)):
+                    room[resource] += amount
         self.reclaimable_by_rights[key] = found, ending_cpus
         return found, ending_cpus
 
--- a/sagecove/coordination/claims/preemptor.py
+++ b/sagecove/coordination/claims/preemptor.py
@@ -189,13 +189,13 @@
         if held is None:
             return wanted
         left = self.limits.unclaimed(job.spec.team)
-        for n, each in enumerate((job.spec.cpus, job.spec.gpus)):
-            if each <= 0 or held[n] <= 0:
+        for resource, each in enumerate((job.spec.cpus, job.spec.gpus)):
+            if each <= 0 or held[resource] <= 0:
                 continue
-            if held[n] > left[n] + ROOM_EPSILON:
+            if held[resource] > left[resource] + ROOM_EPSILON:
                 return 0
             if not claimed:
-                wanted = min(wanted, int((left[n] - held[n] + ROOM_EPSILON) / each))
+                wanted = min(wanted, int((left[resource] - held[resource] + ROOM_EPSILON) / each))
         return wanted
 
     def make_room(
--- a/sagecove/coordination/claims/results.py
+++ b/sagecove/coordination/claims/results.py
@@ -34,8 +34,8 @@
             if shard is None:
                 continue
             unrecorded = 0
-            for s in shards:
-                unrecorded |= job.claims.get(s.name, 0) & job.finished_unrecorded
+            for held_shard in shards:
+                unrecorded |= job.claims.get(held_shard.name, 0) & job.finished_unrecorded
             if job.durable_state is not None:
                 job.durable_state.write_finished(job, shard)
                 continue
@@ -86,9 +86,9 @@
             if any(p.stop_grace_s is not None for p in placements) and not job.gang_stopping:
                 # An orderly stop: all tasks get the same grace period.
                 grace_s = max(p.stop_grace_s or 0.0 for p in placements)
-                for p in placements:
-                    if p.stop_grace_s is None:
-                        workers.stop_task(p, grace_s, "gang")
+                for placement in placements:
+                    if placement.stop_grace_s is None:
+                        workers.stop_task(placement, grace_s, "gang")
             elif job.gang_stopping:
-                for p in placements:
-                    workers.stop_task(p, 0.0, "gang")
+                for placement in placements:
+                    workers.stop_task(placement, 0.0, "gang")
--- a/sagecove/coordination/claims/scheduling_pass.py
+++ b/sagecove/coordination/claims/scheduling_pass.py
@@ -217,8 +217,8 @@
         jobs may have room. Room only shrinks in a pass, so a group without room stays without."""
         max_free = [0.0, 0.0, 0.0]
         for machine in machines:
-            for n, amount in enumerate(machine.free_room()):
-                max_free[n] = max(max_free[n], amount)
+            for resource, amount in enumerate(machine.free_room()):
+                max_free[resource] = max(max_free[resource], amount)
         out: list[JobRun] = []
         for group in self.backlog.groups.values():
             job = group.any_job()
--- a/sagecove/coordination/explain.py
+++ b/sagecove/coordination/explain.py
@@ -95,7 +95,7 @@
         running + owner.peers.running_elsewhere(job.id),
         job.within_guarantee,
         owner.failures.fails_everywhere(job),
-        {shard: n for shard in job.claims if (n := job.claimed(shard).bit_count())},
+        {shard: count for shard in job.claims if (count := job.claimed(shard).bit_count())},
         _wait_reasons(owner, job),
         owner.settings.node,
     )
--- a/sagecove/coordination/limits/team_limits.py
+++ b/sagecove/coordination/limits/team_limits.py
@@ -147,8 +147,8 @@
         as is known here.
         """
         found = dict(self.claim_totals.claimed.get(team, {}))
-        for by_team, at in self.completed_by_peer.values():
-            if self.now - at > PEER_REPORT_EXPIRY_POLLS * self.share_requests.poll_s:
+        for by_team, received_at in self.completed_by_peer.values():
+            if self.now - received_at > PEER_REPORT_EXPIRY_POLLS * self.share_requests.poll_s:
                 continue
             for shard, amount in by_team.get(team, ()):
                 if shard in found and shard not in self.held_shards:
--- a/sagecove/coordination/provisioner.py
+++ b/sagecove/coordination/provisioner.py
@@ -671,11 +671,11 @@
         out: list[str] = []
         # Price per CPU by (type, spot), computed once: most of thousands of machines share a type.
         prices: dict[tuple[str, bool], float] = {}
-        for m in machines:
-            key = m.record.type, m.record.spot
-            if m.machine_type is not None and key not in prices:
-                prices[key] = hourly_price(m.machine_type, m.record.spot) / max(
-                    m.machine_type.cpus, 0.1
+        for machine in machines:
+            key = machine.record.type, machine.record.spot
+            if machine.machine_type is not None and key not in prices:
+                prices[key] = hourly_price(machine.machine_type, machine.record.spot) / max(
+                    machine.machine_type.cpus, 0.1
                 )
         if not prices or surplus_cpus <= 0:
             return []
--- a/sagecove/coordination/workers.py
+++ b/sagecove/coordination/workers.py
@@ -558,8 +558,8 @@
     def tick(self, now: float) -> None:
         """Drop tasks of machines with a surely expired lease; return silent and faulty machines."""
         owner = self.owner
-        for name, at in list(self.deleted_at.items()):
-            if now - at > 600:
+        for name, deleted_at in list(self.deleted_at.items()):
+            if now - deleted_at > 600:
                 del self.deleted_at[name]
         for shard in list(owner.held_shards.values()):
             if now < self.next_check_at.get(shard.name, 0.0):
--- a/sagecove/lab/rule_checker.py
+++ b/sagecove/lab/rule_checker.py
@@ -254,9 +254,9 @@
         (`outfit`); if a class has jobs of several sizes, its largest ones also count separately.
         """
         started_tasks: dict[str, set[str]] = {}
-        for at, task, _ in self.task_starts:
+        for started_at, task, _ in self.task_starts:
             job_id = task.split("/")[0]
-            if at - self.submitted_at.get(job_id, at) <= SERVED_WITHIN_S:
+            if started_at - self.submitted_at.get(job_id, started_at) <= SERVED_WITHIN_S:
                 started_tasks.setdefault(job_id, set()).add(task)
         groups: dict[str, list[bool]] = {}
         jobs = [
--- a/sagecove/lab/world.py
+++ b/sagecove/lab/world.py
@@ -68,8 +68,8 @@
         # Ended controllers refuse connections; otherwise they do not answer, as without power.
         self.dead_nodes_refuse = False
         self.node_count = node_count
-        for i in range(node_count):
-            self.start_node(i)
+        for number in range(node_count):
+            self.start_node(number)
 
     # -- time -----------------------------------------------------------------------------------
 
