--- a/sagecove/coordination/backlog.py
+++ b/sagecove/coordination/backlog.py
@@ -25,7 +25,7 @@
 
 
 def is_resting(job: JobRun) -> bool:
-    """Returns whether all there is to do for a job is to claim some of its tasks."""
+    """Return whether all there is to do for a job is to claim some of its tasks."""
     return bool(
         job.array
         and not job.claimed_whole
@@ -42,7 +42,7 @@
 
 
 def make_group_key(job: JobRun) -> GroupKey:
-    """Returns the key of a job's group: jobs of one key either all find room or none does."""
+    """Return the key of a job's group: jobs of one key either all find room or none does."""
     spec = job.spec
     types = tuple(spec.types) if spec.types is not None else None
     return (
@@ -64,11 +64,11 @@
         self.added: list[JobRun] = []
 
     def any_job(self) -> JobRun:
-        """Returns any job of the group."""
+        """Return any job of the group."""
         return next(iter(self.jobs.values()))
 
     def add(self, job: JobRun) -> None:
-        """Adds a resting job."""
+        """Add a resting job."""
         self.jobs[job.id] = job
         self.added.append(job)
 
@@ -85,7 +85,7 @@
         self.resting_count = 0
 
     def reclassify(self, job: JobRun) -> None:
-        """Puts a new or changed job among the active jobs or into its group."""
+        """Put a new or changed job among the active jobs or into its group."""
         key = make_group_key(job) if is_resting(job) else None
         if key is not None and key == job.group_key:
             return
@@ -102,7 +102,7 @@
             self.resting_count += 1
 
     def remove(self, job: JobRun) -> None:
-        """Removes a job that is gone or about to be reclassified."""
+        """Remove a job that is gone or about to be reclassified."""
         self.active.pop(job.id, None)
         self.dirty_jobs.pop(job.id, None)
         if job.group_key is not None:
@@ -114,18 +114,18 @@
             job.group_key = None
 
     def reclassify_dirty(self) -> None:
-        """Moves dirty jobs that have become resting without a call of `reclassify`."""
+        """Move dirty jobs that have become resting without a call of `reclassify`."""
         for job in [j for j in self.dirty_jobs.values() if is_resting(j)]:
             self.reclassify(job)
 
     def mark_dirty(self, job: JobRun) -> None:
-        """Makes the next pass look at an active job."""
+        """Make the next pass look at an active job."""
         if job.id in self.active:
             self.dirty_jobs[job.id] = job
 
     @staticmethod
     def nothing_to_do(job: JobRun, held: list[str]) -> bool:
-        """Returns whether an active job needs nothing until it changes: all tasks claimed here are
+        """Return whether an active job needs nothing until it changes: all tasks claimed here are
         on machines and meant to run. That holds for most active jobs, and no pass looks at them
         before they are marked dirty."""
         if (
@@ -147,7 +147,7 @@
     def first_claimable(
         self, group: RestingGroup, now: float, most: int = GROUP_JOBS_PER_PASS_COUNT
     ) -> Iterator[JobRun]:
-        """Yields up to `most` jobs of a group in precedence, without those that may not be claimed
+        """Yield up to `most` jobs of a group in precedence, without those that may not be claimed
         at the moment."""
         context = self.context
         size = len(group.jobs)
@@ -189,7 +189,7 @@
                 return
 
     def sort_by_precedence(self, jobs: list[JobRun]) -> list[JobRun]:
-        """Updates the ranks of arrays and sorts them by precedence, in place."""
+        """Update the ranks of arrays and sort them by precedence, in place."""
         for job in jobs:
             self.context.estimates.update_rank(job)
         jobs.sort(key=precedence)
--- a/sagecove/coordination/claims/candidates.py
+++ b/sagecove/coordination/claims/candidates.py
@@ -37,7 +37,7 @@
     policy: PreemptionPolicy,
     max_loss_cpu_s: float | None = None,
 ) -> list[Candidate]:
-    """Returns machines where room for up to `count` tasks of a job can be made, best first. With
+    """Return machines where room for up to `count` tasks of a job can be made, best first. With
     `max_loss_cpu_s`: only machines that have its image, with at most that loss for each task."""
     out = _search(now, job, (1, count), machines, promised, policy, max_loss_cpu_s)
     if job.gang and sum(c.tasks for c in out) < count:
@@ -55,7 +55,7 @@
     policy: PreemptionPolicy,
     max_loss_cpu_s: float | None,
 ) -> list[Candidate]:
-    """Searches with `wanted` = (tasks to make room for on each machine, tasks in all)."""
+    """Search with `wanted` = (tasks to make room for on each machine, tasks in all)."""
     per_machine, count = wanted
     spec = job.spec
     patience = policy.patience(job)
@@ -120,8 +120,8 @@
 
 
 def _best_zone(found: list[Candidate], count: int, gang: bool) -> list[Candidate]:
-    """Returns the candidates of the zone where room for all tasks costs least. If no zone has room
-    for all, picks the one with room for most (for a gang: none). With candidates of several zones,
+    """Return the candidates of the zone where room for all tasks costs least. If no zone has room
+    for all, pick the one with room for most (for a gang: none). With candidates of several zones,
     room was freed again and again for a gang in zones where its tasks could not start together."""
     zones: dict[str, list[Candidate]] = {}
     for candidate in found:
@@ -145,7 +145,7 @@
 def _add_task_room(
     room: tuple[float, float, float], placement: Placement, sign: int = 1
 ) -> tuple[float, float, float]:
-    """Returns room plus the resources of a task (with `sign` -1: minus)."""
+    """Return room plus the resources of a task (with `sign` -1: minus)."""
     assert placement.job is not None
     more = task_resources(placement.job)
     return room[0] + sign * more[0], room[1] + sign * more[1], room[2] + sign * more[2]
--- a/sagecove/coordination/claims/claimer.py
+++ b/sagecove/coordination/claims/claimer.py
@@ -68,7 +68,7 @@
         self.unclaimed_jobs: dict[tuple[bool, bool, int], int] = {}  # count by fixed precedence
 
     def claim_ahead_count(self, job: JobRun) -> int:
-        """Counts the tasks of an array that will soon find room as its running tasks end here.
+        """Count the tasks of an array that will soon find room as its running tasks end here.
         Estimates may be far too low, so tasks that run far longer than estimated don't count."""
         if not job.array or job.judged_faulty or not job.placed:
             return 0
@@ -101,7 +101,7 @@
     def count_fitting(
         self, job: JobRun, shard: str, machines: list[Machine], promised: RoomByMachine
     ) -> int:
-        """Counts unclaimed tasks that fit the shard's free room, and adds them to `promised`."""
+        """Count unclaimed tasks that fit the shard's free room, and add them to `promised`."""
         bits = job.unclaimed
         wanted = self.limits.claimable(shard, job.spec, bits.bit_count())
         wanted = self.preemptor.cap(job, wanted)
@@ -129,7 +129,7 @@
         job: JobRun,
         promised: RoomByMachine,
     ) -> None:
-        """Claims as many unclaimed tasks of a job as the shard can run, or asks for more room."""
+        """Claim as many unclaimed tasks of a job as the shard can run, or ask for more room."""
         if job.claiming is not None and job.claiming[0] == shard.name:
             indexes = list(taskset.members(taskset.lowest(job.claiming[1], 1000)))
             plan_placements(job, indexes, machines, self.context.random, promised)
@@ -185,7 +185,7 @@
             self.claim(job, shard, taskset.lowest(bits, count))
 
     def limit_to_record_size(self, job: JobRun, count: int) -> int:
-        """Caps `count` at the tasks whose claims fit the job's record, whatever finishes first.
+        """Cap `count` at the tasks whose claims fit the job's record, whatever finishes first.
         Records of huge arrays outgrew a value of 8 KiB, and no result could be written any more."""
         if not job.array or job.durable_state is not None or job.spec.tasks < LARGE_TASK_COUNT:
             return count
@@ -197,7 +197,7 @@
         return min(count, most - held.bit_count())
 
     def _reclaim_part(self, now: float, job: JobRun, shard: str) -> int:
-        """Counts the tasks that this shard preempts for. Borrowers give back in proportion, so all
+        """Count the tasks that this shard preempts for. Borrowers give back in proportion, so all
         controllers compute the same part for each shard; after two polls any shard may take all."""
         wanted = job.unfinished.bit_count()
         if (
@@ -221,7 +221,7 @@
         promised: RoomByMachine,
         planned_count: int = 0,
     ) -> None:
-        """Requests more of the limit if only that keeps tasks from room, free or to be freed."""
+        """Request more of the limit if only that keeps tasks from room, free or to be freed."""
         wanted = job.unclaimed.bit_count()
         allowed = self.limits.claimable(shard, job.spec, wanted)
         if allowed >= wanted or job.judged_faulty or not self.state.preemption_due:
@@ -243,7 +243,7 @@
             self.limits.request_share(now, shard, job, found)
 
     def count_unclaimed_jobs(self, jobs: list[JobRun]) -> None:
-        """Counts the jobs of a pass that have unclaimed tasks, by fixed precedence."""
+        """Count the jobs of a pass that have unclaimed tasks, by fixed precedence."""
         self.unclaimed_jobs.clear()
         for job in jobs:
             if job.unclaimed:
@@ -251,9 +251,9 @@
                 self.unclaimed_jobs[key] = self.unclaimed_jobs.get(key, 0) + 1
 
     def _skip_contended_job(self, job: JobRun) -> bool:
-        """Skips a job at random, the more often the more claims were lost lately: five controllers
+        """Skip a job at random, the more often the more claims were lost lately: five controllers
         that all tried the first jobs of a long backlog lost four claims of five, and claimed 8 jobs
-        a second with 1000 machines idle. Never skips the only job of its precedence: one that fills
+        a second with 1000 machines idle. Never skip the only job of its precedence: one that fills
         a guarantee was claimed bit by bit."""
         if self.unclaimed_jobs.get(fixed_precedence(job), 0) <= 1:
             return False
@@ -268,7 +268,7 @@
         machines: list[Machine],
         promised: RoomByMachine,
     ) -> None:
-        """Reserves free room of its home shard (in one zone if required) for a gang that does not
+        """Reserve free room of its home shard (in one zone if required) for a gang that does not
         fit yet and has waited longer than its machines take to boot. Without that, smaller gangs
         passed a large one by for good where tasks share machines."""
         if not self.preemptor.waits_long(
@@ -318,7 +318,7 @@
                 held[resource] += max(0.0, room[resource])
 
     def claim(self, job: JobRun, shard: Shard, bits: int) -> None:
-        """Writes a claim on tasks for a shard, within its share of the team's limit."""
+        """Write a claim on tasks for a shard, within its share of the team's limit."""
         if job.durable_state is not None:
             job.committing = True
             job.claiming = (shard.name, bits)
@@ -361,13 +361,13 @@
         self.context.commit(conditions, [change], done)
 
     def _turn(self, job: JobRun) -> float:
-        """Returns when to retry a record: losers retry in turn, ordered by job, not all at once."""
+        """Return when to retry a record: losers retry in turn, ordered by job, not all at once."""
         nodes = sorted(self.context.settings.nodes, key=lambda n: crc32(f"{job.id} {n}".encode()))
         turn = nodes.index(self.context.settings.node)
         return turn + self.context.random.uniform(0.5, 1.0)
 
     def claim_write(self, shard: Shard, job: JobRun, bits: int) -> wire.Put | None:
-        """Returns the write of a claim; None if the shard's share of the limit is too small."""
+        """Return the write of a claim; None if the shard's share of the limit is too small."""
         count = bits.bit_count()
         if self.limits.claimable(shard.name, job.spec, count) < count:
             return None
@@ -378,7 +378,7 @@
     def claim_similar(
         self, now: float, shard: Shard, jobs: list[JobRun], promised: RoomByMachine
     ) -> list[JobRun]:
-        """Claims as many of these similar one-task jobs as fit, and returns the others."""
+        """Claim as many of these similar one-task jobs as fit, and return the others."""
         first = jobs[0]
         wanted = self.limits.claimable(shard.name, first.spec, len(jobs))
         wanted = self.preemptor.cap(first, wanted)
--- a/sagecove/coordination/claims/pass_state.py
+++ b/sagecove/coordination/claims/pass_state.py
@@ -57,7 +57,7 @@
         ] = {}
 
     def scan_running_jobs(self, shard: str) -> None:
-        """Finds the smallest job of each precedence that runs on a shard's machines, and of each
+        """Find the smallest job of each precedence that runs on a shard's machines, and of each
         team where teams matter. Only these have to be compared to know if a job may preempt."""
         smallest: dict[tuple[object, ...], JobRun] = {}
         running_task_cpus: set[float] = set()
@@ -76,19 +76,19 @@
         self.reclaimable_by_rights.clear()
 
     def can_preempt(self, job: JobRun) -> bool:
-        """Returns whether the shard runs any task that the job may preempt."""
+        """Return whether the shard runs any task that the job may preempt."""
         return any(may_preempt(job, other) for other in self.smallest_running_jobs)
 
     def ending_soon_count(self, job: JobRun) -> int:
-        """Counts the tasks of an array that get room from tasks that end by themselves in time."""
+        """Count the tasks of an array that get room from tasks that end by themselves in time."""
         return int(self._reclaimable(job)[1] / max(job.spec.cpus, 0.1)) if job.array else 0
 
     def reclaimable_room(self, job: JobRun) -> dict[str, list[float]]:
-        """Returns room by machine held by tasks that are stopping or worth preempting for a job."""
+        """Return room by machine held by tasks that are stopping or worth preempting for a job."""
         return self._reclaimable(job)[0]
 
     def _reclaimable(self, job: JobRun) -> tuple[dict[str, list[float]], float]:
-        """Returns `reclaimable_room` and the CPUs of tasks that end soon enough by themselves.
+        """Return `reclaimable_room` and the CPUs of tasks that end soon enough by themselves.
         Many jobs have the same rights, so both are cached by rights for the pass."""
         policy = self.policy
         key = (
@@ -123,7 +123,7 @@
         return found, ending_cpus
 
     def candidate_machines(self, job: JobRun, machines: list[Machine]) -> list[Machine]:
-        """Returns the given machines and those with reclaimable room for a job, sorted by name."""
+        """Return the given machines and those with reclaimable room for a job, sorted by name."""
         names = {m.name for m in machines} | self.reclaimable_room(job).keys()
         if job.array:
             names = {n for n in names if self.context.now >= self.context.machines[n].drain_until}
--- a/sagecove/coordination/claims/placer.py
+++ b/sagecove/coordination/claims/placer.py
@@ -174,7 +174,7 @@
         machines: list[Machine],
         promised: RoomByMachine,
     ) -> bool:
-        """Returns whether a gang or service with room should rather wait for machines that have its
+        """Return whether a gang or service with room should rather wait for machines that have its
         image. If tasks can be preempted there at a loss of less work than the fetch would cost,
         they are, and the job waits for them to stop: with images of 22 s and more, gangs were
         placed in 0.2 s and ran after 36 s, their machines idle meanwhile. Tried once for a new
@@ -213,7 +213,7 @@
     def _count_pending_reservations(
         self, job: JobRun, unplaced_count: int, used_machines: list[Machine]
     ) -> int:
-        """Counts tasks of a job whose reserved room is still being freed, and drops reservations
+        """Count tasks of a job whose reserved room is still being freed, and drop reservations
         that have been used or exceed its unplaced tasks."""
         for machine in used_machines:
             if job.reserved.get(machine.name, 0) > 0:
@@ -233,7 +233,7 @@
         return pending_count
 
     def _fitting_after_stops(self, job: JobRun, name: str) -> int:
-        """Counts the tasks of a job that will fit a machine once its stopping tasks are gone."""
+        """Count the tasks of a job that will fit a machine once its stopping tasks are gone."""
         machine = self.context.machines.get(name)
         if machine is None:
             return 0
--- a/sagecove/coordination/claims/preemptor.py
+++ b/sagecove/coordination/claims/preemptor.py
@@ -61,7 +61,7 @@
     def withhold_machines(
         self, now: float, shard: Shard, machines: list[Machine], ordered: list[JobRun]
     ) -> dict[str, JobRun]:
-        """Returns machines that arrays leave room on for a waiting gang whose task takes most of a
+        """Return machines that arrays leave room on for a waiting gang whose task takes most of a
         machine: it would only have to preempt them again. Not for good for a gang that the fleet
         could not hold, and not for one that waits for its team's limit."""
         out: dict[str, JobRun] = {}
@@ -85,15 +85,15 @@
         return out
 
     def limit_has_room(self, job: JobRun) -> bool:
-        """Returns whether the team's limit allows all unclaimed tasks of a gang. If not, nothing is
+        """Return whether the team's limit allows all unclaimed tasks of a gang. If not, nothing is
         reserved for it: others waited beside idle machines for as long as the team's other work
         ran, which may be for good."""
         lack = job.unclaimed.bit_count()
         return self.limits.claimable_anywhere(job.spec, lack) >= lack
 
     def hold_back_for(self, now: float, shard: Shard, job: JobRun) -> None:
-        """Holds back room in the team's limit for a job that waits to be claimed as a whole, and
-        stops the team's tasks of lower priority if the limit has too little left.
+        """Hold back room in the team's limit for a job that waits to be claimed as a whole, and
+        stop the team's tasks of lower priority if the limit has too little left.
 
         Each shard's holder stops its part of what lacks; the claims of stopped tasks are released.
         """
@@ -134,7 +134,7 @@
             self.workers.stop_task(placement, placement.job.grace_s, job.id)
 
     def enforce_limits(self, shard: str) -> None:
-        """Stops tasks of teams above a lowered limit: lowest precedence first, then the latest."""
+        """Stop tasks of teams above a lowered limit: lowest precedence first, then the latest."""
         for team, (cpus, gpus) in self.limits.excess_use(shard).items():
             running = [
                 placement
@@ -162,20 +162,20 @@
                     self.workers.stop_task(placement, placement.job.grace_s, "limit")
 
     def add_held_back(self, job: JobRun, count: int) -> list[float]:
-        """Holds back the needs of `count` tasks of a job; returns all that its team holds back."""
+        """Hold back the needs of `count` tasks of a job; return all that its team holds back."""
         return _add_resources(self.state.held_back_by_team, job, count)
 
     def waits_long(self, now: float, job: JobRun) -> bool:
-        """Returns whether a job has waited longer than machines of its own take to boot, so that
+        """Return whether a job has waited longer than machines of its own take to boot, so that
         smaller jobs of its precedence no longer go ahead of it."""
         return not self._machines_may_be_booting(now, job) and self.shards.fleet_can_hold(job)
 
     def _machines_may_be_booting(self, now: float, job: JobRun) -> bool:
-        """Returns whether machines rented for a job may still be booting."""
+        """Return whether machines rented for a job may still be booting."""
         return now - job.first_seen_at < gang_long_wait_s(self.context.machine_types.values())
 
     def cap(self, job: JobRun, wanted: int, claimed: bool = False) -> int:
-        """Caps the tasks of a job to claim (or with `claimed`, to place) at what its team's limit
+        """Cap the tasks of a job to claim (or with `claimed`, to place) at what its team's limit
         has left beside held back amounts. Only resources that the job uses count: gangs waiting
         for GPUs kept their team's arrays from CPUs that nobody used. Gangs may pass larger ones
         for a while, but not for good: at its team's limit one waited for as long as smaller gangs
@@ -207,7 +207,7 @@
         promised: RoomByMachine,
         max_loss_cpu_s: float | None = None,
     ) -> int:
-        """Preempts tasks for a job, and returns how many of its tasks will then fit. With
+        """Preempt tasks for a job, and return how many of its tasks will then fit. With
         `max_loss_cpu_s`: only on machines with its image, for all `count` tasks or none, and with
         at most that loss for each."""
         satisfied_count = 0
@@ -249,7 +249,7 @@
         return satisfied_count
 
     def _order_by_borrowing(self, now: float, candidates: list[Candidate]) -> list[Candidate]:
-        """Orders candidates so that teams give back in proportion to what they borrow beyond their
+        """Order candidates so that teams give back in proportion to what they borrow beyond their
         guarantees, by the totals that all controllers share, and not whichever team loses least.
         Within a team the order by loss stays."""
         if now - self.reclaimed_at > self.state.poll_s:
@@ -284,7 +284,7 @@
         return out
 
     def count_fitting_by_preemption(self, job: JobRun, count: int, promised: RoomByMachine) -> int:
-        """Counts the tasks that would fit if others were preempted. Preempts nothing."""
+        """Count the tasks that would fit if others were preempted. Preempts nothing."""
         satisfied_count = 0
         spec = job.spec
         rights = self.policy.rights_key(job)
@@ -324,12 +324,12 @@
 
 
 def gang_long_wait_s(types: Iterable[MachineType]) -> float:
-    """Returns the wait after which a gang counts as waiting long."""
+    """Return the wait after which a gang counts as waiting long."""
     return GANG_LONG_WAIT_BOOT_COUNT * max((t.boot_s for t in types), default=0.0)
 
 
 def _add_resources(table: dict[str, list[float]], job: JobRun, count: int) -> list[float]:
-    """Adds the needs of `count` tasks to their team's entry, and returns that entry."""
+    """Add the needs of `count` tasks to their team's entry, and return that entry."""
     held = table.setdefault(job.spec.team, [0.0, 0.0])
     held[0] += count * job.spec.cpus
     held[1] += count * job.spec.gpus
@@ -337,7 +337,7 @@
 
 
 def _any_positive(amounts: list[float]) -> bool:
-    """Returns whether any amount is above rounding error."""
+    """Return whether any amount is above rounding error."""
     return any(amount > ROOM_EPSILON for amount in amounts)
 
 
@@ -349,7 +349,7 @@
 
 
 def _stopped_cpus(candidate: Candidate) -> float:
-    """Returns the CPUs of the tasks preempted on a candidate."""
+    """Return the CPUs of the tasks preempted on a candidate."""
     return sum(
         placement.job.spec.cpus for placement in candidate.victims if placement.job is not None
     )
--- a/sagecove/coordination/claims/releaser.py
+++ b/sagecove/coordination/claims/releaser.py
@@ -34,7 +34,7 @@
         self.unconfirmed: list[UnconfirmedRelease] = []
 
     def release(self, now: float, job: JobRun, shard: Shard) -> None:
-        """Releases a job's unplaced claims; those of a job claimed as a whole only all at once."""
+        """Release a job's unplaced claims; those of a job claimed as a whole only all at once."""
         if job.committing:
             return
         name = shard.name
@@ -56,7 +56,7 @@
         self.write_release(job, shard, claims, bits)
 
     def resolve_unconfirmed(self) -> None:
-        """Resolves unconfirmed releases by a newer record of the job, the end of the shard's term,
+        """Resolve unconfirmed releases by a newer record of the job, the end of the shard's term,
         or another write."""
         unresolved, self.unconfirmed = self.unconfirmed, []
         for entry in unresolved:
@@ -81,7 +81,7 @@
         bits: int,
         earlier_unanswered: bool = False,
     ) -> None:
-        """Writes a release. `earlier_unanswered`: an earlier copy may still be executed."""
+        """Write a release. `earlier_unanswered`: an earlier copy may still be executed."""
         stamp = job.stamp
         job.committing = True
 
--- a/sagecove/coordination/claims/results.py
+++ b/sagecove/coordination/claims/results.py
@@ -24,7 +24,7 @@
         self.write_interval_s = self.context.settings.params.workers.lease_s / 4
 
     def write_finished(self, now: float, shards: list[Shard]) -> None:
-        """Writes newly finished tasks of all jobs; ends jobs whose last task has finished."""
+        """Write newly finished tasks of all jobs; end jobs whose last task has finished."""
         for job in list(self.backlog.dirty_jobs.values()):
             if not job.finished_unrecorded or job.committing:
                 continue
@@ -58,7 +58,7 @@
             self._write(job, shard, changes)
 
     def _write(self, job: JobRun, shard: Shard, changes: list[wire.Put | wire.Delete]) -> None:
-        """Writes a job's record on condition that neither it nor the shard's holder has changed."""
+        """Write a job's record on condition that neither it nor the shard's holder has changed."""
         job.committing = True
 
         def done(result: Result) -> None:
@@ -74,7 +74,7 @@
         self.context.commit(conditions, changes, done)
 
     def stop_incomplete_gangs(self, now: float) -> None:
-        """Stops all tasks of gangs that lost one; they start again once all tasks are gone."""
+        """Stop all tasks of gangs that lost one; they start again once all tasks are gone."""
         workers = self.workers
         for job in self.backlog.dirty_jobs.values():
             if not job.gang:
--- a/sagecove/coordination/claims/scheduling_pass.py
+++ b/sagecove/coordination/claims/scheduling_pass.py
@@ -102,7 +102,7 @@
         self.open_job_count = 0
 
     def run(self, now: float) -> None:
-        """Runs one pass over all shards for which this controller may act."""
+        """Run one pass over all shards for which this controller may act."""
         shards = [self.context.held_shards[s] for s in self.shards.active_shards(now)]
         if not shards:
             return
@@ -169,7 +169,7 @@
     def _keep_reserved_room(
         self, jobs: list[JobRun], current_precedence: object, promised: RoomByMachine
     ) -> None:
-        """Keeps room that was freed for one job from other jobs of its precedence. Ten teams that
+        """Keep room that was freed for one job from other jobs of its precedence. Ten teams that
         claimed their guarantees at once took it from one another, and the last waited until its
         reservation had expired."""
         for job in jobs:
@@ -178,7 +178,7 @@
                 self.pass_state.jobs_with_kept_room.add(job.id)
 
     def _collect_dirty_jobs(self, shards: list[Shard]) -> list[JobRun]:
-        """Returns the active jobs that the pass may have to do something for, in precedence. Jobs
+        """Return the active jobs that the pass may have to act on, by precedence. Jobs
         with nothing to do stop being dirty: most are fully placed, and with thousands of tasks
         looking at each of them would be most of a pass."""
         names = [shard.name for shard in shards]
@@ -213,7 +213,7 @@
     def _collect_resting_jobs(
         self, now: float, shard: Shard, machines: list[Machine]
     ) -> list[JobRun]:
-        """Returns resting jobs that a shard may be able to claim: the first of each group whose
+        """Return resting jobs that a shard may be able to claim: the first of each group whose
         jobs may have room. Room only shrinks in a pass, so a group without room stays without."""
         max_free = [0.0, 0.0, 0.0]
         for machine in machines:
@@ -240,14 +240,14 @@
         return out
 
     def _may_probe(self, job: JobRun) -> bool:
-        """Returns whether a job that fails everywhere is due for another try. Only the controller
+        """Return whether a job that fails everywhere is due for another try. Only the controller
         that has judged it faulty probes it."""
         return job.judged_faulty and self.context.now >= job.hold_until and not job.placed
 
     def _handle_similar_jobs(
         self, now: float, shard: Shard, jobs: list[JobRun], promised: RoomByMachine
     ) -> list[JobRun]:
-        """Claims or places runs of similar jobs together, and returns the jobs that are left to be
+        """Claim or place runs of similar jobs together, and return the jobs that are left to be
         looked at one by one, in order. Jobs without records of their own come in hundreds that
         are similar."""
         remaining: list[JobRun] = []
@@ -260,7 +260,7 @@
         return remaining
 
     def _similarity_key(self, shard: str) -> Callable[[JobRun], tuple[object, ...] | None]:
-        """Returns a key function: jobs of equal key are planned together, those of None are not."""
+        """Return a key function: jobs of equal key are planned together, those of None are not."""
 
         def key(job: JobRun) -> tuple[object, ...] | None:
             spec = job.spec
@@ -287,7 +287,7 @@
 
 
 def machines_for_arrays(machines: list[Machine], jobs: list[JobRun]) -> list[Machine]:
-    """Returns machines with room for the smallest task of the arrays among the jobs. Room only
+    """Return machines with room for the smallest task of the arrays among the jobs. Room only
     shrinks in a pass, and when there is much work most machines have none."""
     arrays = [job.spec for job in jobs if job.array]
     if not arrays:
--- a/sagecove/coordination/estimates.py
+++ b/sagecove/coordination/estimates.py
@@ -34,7 +34,7 @@
         self.boot_times_s: dict[str, deque[float]] = {}
 
     def note_arrival_time(self, job: JobRun) -> None:
-        """Notes the arrival of a service, or of a job whose task takes most of a machine."""
+        """Note the arrival of a service, or of a job whose task takes most of a machine."""
         if job.array:
             return
         if job.service:
@@ -49,7 +49,7 @@
             )
 
     def service_expected(self, max_gap_s: float) -> bool:
-        """Returns whether services arrive often enough to expect one: the last came within a few
+        """Return whether services arrive often enough to expect one: the last came within a few
         of the gaps between them, and within `max_gap_s`."""
         if not self.service_arrivals:
             return False
@@ -57,7 +57,7 @@
         return self.context.now - self.service_arrivals[-1] < min(2.5 * gap_s, max_gap_s)
 
     def note_run_time(self, placement: Placement) -> None:
-        """Learns from a completed task how far owners' estimates of its class are off."""
+        """Learn from a completed task how far owners' estimates of its class are off."""
         job = placement.job
         if job is None or job.spec.estimate_s <= 0 or not placement.running_at:
             return
@@ -66,7 +66,7 @@
         self.run_time_ratios[job.spec.klass] = previous + 0.05 * (ratio - previous)
 
     def note_boot_time(self, machine: Machine) -> None:
-        """Learns the boot time of a machine from its first report."""
+        """Learn the boot time of a machine from its first report."""
         took_s = self.context.wall() - machine.record.at
         shard = self.context.held_shards.get(machine.record.shard)
         if shard is None or self.context.now - took_s < shard.held_since:
@@ -75,7 +75,7 @@
         self.boot_times_s.setdefault(machine.record.type, deque(maxlen=16)).append(took_s)
 
     def boot_timeout_s(self, machine_type: MachineType) -> float:
-        """Returns the time after which a booting machine counts as failed: twice the slowest boot
+        """Return the time after which a booting machine counts as failed: twice the slowest boot
         seen lately; before enough were seen, several times the nominal time, as in PROTOCOL."""
         timeout_s = 5 * machine_type.boot_s + 30.0
         boot_times = self.boot_times_s.get(machine_type.name, ())
@@ -84,7 +84,7 @@
         return timeout_s
 
     def expected_run_s(self, job: JobRun) -> float:
-        """Returns the expected run time of a task, including the fetch of its image."""
+        """Return the expected run time of a task, including the fetch of its image."""
         machine_type = next(iter(self.context.machine_types.values()), None)
         fetch_s = (
             job.spec.image_gb / machine_type.fetch_gb_per_s
@@ -94,7 +94,7 @@
         return job.spec.estimate_s * self.run_time_ratios.get(job.spec.klass, 1.0) + 0.5 * fetch_s
 
     def target_ages_s(self, job: JobRun) -> list[float]:
-        """Returns the ages by which a job is expected to be finished, by its class's objectives."""
+        """Return the ages by which a job is expected to be finished, by its class's objectives."""
         targets = self.class_targets.get(job.spec.klass)
         if targets is None:
             targets = []
@@ -113,7 +113,7 @@
         ) or [300.0]
 
     def update_rank(self, job: JobRun) -> None:
-        """Ranks an array among arrays of equal precedence. When there is more work than machines,
+        """Rank an array among arrays of equal precedence. When there is more work than machines,
         serving by age makes all of them late, so arrays that can still be in time go first, the
         least work first, then the others. Beyond guarantees, teams that borrow less for the size of
         their guarantee go first. An array at twice its last target goes before all of these;
@@ -136,14 +136,14 @@
         job.array_rank = (0, level, work_cpu_s) if feasible else (1, level, job.submitted_at)
 
     def _nothing_started(self, job: JobRun) -> bool:
-        """Returns whether no task of an array has started, as far as this controller knows."""
+        """Return whether no task of an array has started, as far as this controller knows."""
         return (
             not (job.finished or job.finished_unrecorded or job.placed)
             and job.claims.keys() <= self.context.held_shards.keys()
         )
 
     def update_avoided_types(self, job: JobRun) -> None:
-        """Sets the machine types that a service avoids: those with GPUs if others suit it, since it
+        """Set the machine types that a service avoids: those with GPUs if others suit it, since it
         would keep them for good from jobs that need them, or an expensive machine from being
         returned. If it lacks room for a moment, it avoids only types that gangs ask for; if it
         lacks room for long, none."""
@@ -168,7 +168,7 @@
             job.avoided_types = frozenset(gpus)
 
     def finish_within_s(self, job: JobRun) -> float:
-        """Returns how long a job may take from its submission, by its deadline or objectives."""
+        """Return how long a job may take from its submission, by its deadline or objectives."""
         if job.spec.deadline_s is not None:
             return job.spec.deadline_s
         found = [
--- a/sagecove/coordination/placement.py
+++ b/sagecove/coordination/placement.py
@@ -18,7 +18,7 @@
 
 
 def type_allowed(spec: Job, machine_type: MachineType) -> bool:
-    """Returns whether a job allows a machine type and its tasks fit an empty machine of it."""
+    """Return whether a job allows a machine type and its tasks fit an empty machine of it."""
     return (
         (spec.types is None or machine_type.name in spec.types)
         and spec.cpus <= machine_type.cpus + ROOM_EPSILON
@@ -28,7 +28,7 @@
 
 
 def machine_allowed(spec: Job, machine: Machine) -> bool:
-    """Returns whether a job allows a machine by type, zone and spot."""
+    """Return whether a job allows a machine by type, zone and spot."""
     record = machine.record
     return (
         machine.machine_type is not None
@@ -39,12 +39,12 @@
 
 
 def fills_most_of_machine(spec: Job, machine_type: MachineType) -> bool:
-    """Returns whether a task takes most of such a machine, so that one in use rarely has room."""
+    """Return whether a task takes most of such a machine, so that one in use rarely has room."""
     return 2 * spec.cpus > machine_type.cpus or 2 * spec.gpus > machine_type.gpus > 0
 
 
 def machine_suits(job: JobRun, machine: Machine) -> bool:
-    """Returns whether a job allows a machine and does not avoid its type."""
+    """Return whether a job allows a machine and does not avoid its type."""
     machine_type = machine.machine_type
     return machine_allowed(job.spec, machine) and not (
         job.avoided_types and machine_type is not None and machine_type.name in job.avoided_types
@@ -52,12 +52,12 @@
 
 
 def hourly_price(machine_type: MachineType, spot: bool) -> float:
-    """Returns the price of a machine for one hour."""
+    """Return the price of a machine for one hour."""
     return machine_type.spot_price if spot and machine_type.spot_price else machine_type.price
 
 
 def price_class(machine_type: MachineType, spot: bool, base: float) -> int:
-    """Returns the class of a machine's price per CPU: 0 up to `base`, the lowest on-demand price,
+    """Return the class of a machine's price per CPU: 0 up to `base`, the lowest on-demand price,
     then one class for each factor of 3.5 (about the ratio of on-demand to spot prices)."""
     ratio = (
         hourly_price(machine_type, spot) / max(machine_type.cpus, 0.1) / base if base > 0 else 1.0
@@ -66,7 +66,7 @@
 
 
 def tasks_fitting(spec: Job, room: tuple[float, float, float]) -> int:
-    """Counts the tasks that fit an amount of free room."""
+    """Count the tasks that fit an amount of free room."""
     cpus, gpus, memory = room
     if (
         cpus + ROOM_EPSILON < spec.cpus
@@ -98,7 +98,7 @@
         return (types, spec.zone, spec.spot, job.array, job.avoided_types)
 
     def covers(self, job: JobRun, rank: object = None) -> bool:
-        """Returns whether a job (with these preemption rights, if any) is known to find no room."""
+        """Return whether a job (with these preemption rights, if any) is known to find no room."""
         spec = job.spec
         for cpus, gpus, memory in self._needs.get((*self._key(job), rank), ()):
             if spec.cpus >= cpus and spec.gpus >= gpus and spec.memory_gb >= memory:
@@ -106,7 +106,7 @@
         return False
 
     def add(self, job: JobRun, rank: object = None) -> None:
-        """Remembers that one task of a job found no room."""
+        """Remember that one task of a job found no room."""
         spec = job.spec
         if spec.one_zone or spec.spread:
             return
@@ -115,7 +115,7 @@
 
 
 def unpromised_room(machine: Machine, promised: RoomByMachine | None) -> tuple[float, float, float]:
-    """Returns a machine's free room less what is promised to others."""
+    """Return a machine's free room less what is promised to others."""
     cpus, gpus, memory = machine.free_room()
     if promised and (held := promised.get(machine.name)):
         return cpus - held[0], gpus - held[1], memory - held[2]
@@ -129,8 +129,8 @@
     requested: RoomByMachine,
     most: int,
 ) -> int:
-    """Counts tasks of a job, up to `most`, that fit machines beside what is promised and what was
-    counted for others before in `requested`, and adds them to that."""
+    """Count tasks of a job, up to `most`, that fit machines beside what is promised and what was
+    counted for others before in `requested`, and add them to that."""
     found = 0
     spec = job.spec
     for machine in machines:
@@ -148,7 +148,7 @@
 
 
 def add_promised(promised: RoomByMachine, name: str, spec: Job, count: int = 1) -> None:
-    """Adds the needs of planned tasks to a machine's promised room (negative: removes them)."""
+    """Add the needs of planned tasks to a machine's promised room (negative: remove them)."""
     held = promised.setdefault(name, [0.0, 0.0, 0.0])
     held[0] += spec.cpus * count
     held[1] += spec.gpus * count
@@ -156,14 +156,14 @@
 
 
 def promise_reserved(promised: RoomByMachine, job: JobRun, sign: int = 1) -> None:
-    """Promises room freed by preemption to the job it was freed for (with `sign` -1: makes it
+    """Promise room freed by preemption to the job it was freed for (with `sign` -1: make it
     available to that job)."""
     for name, count in job.reserved.items():
         add_promised(promised, name, job.spec, sign * count)
 
 
 def machine_rank(job: JobRun, machine: Machine) -> tuple[int, int, int]:
-    """Ranks a machine for a job, lowest first: by unused GPUs (for arrays by price class), by how
+    """Rank a machine for a job, lowest first: by unused GPUs (for arrays by price class), by how
     soon it has the image, then by spot or on-demand as the job asks. Arrays fill expensive machines
     last, whatever images they have, so that those run empty and are returned when load falls."""
     spec = job.spec
@@ -180,7 +180,7 @@
 
 
 def _image_delay_rank(spec: Job, machine: Machine) -> int:
-    """Ranks a machine by how soon it has an image: present; being fetched; to be fetched; to be
+    """Rank a machine by how soon it has an image: present; being fetched; to be fetched; to be
     fetched while another fetch shares the rate."""
     if spec.image in machine.images:
         return 0
@@ -190,7 +190,7 @@
 
 
 def tasks_by_zone(job: JobRun) -> dict[str, int]:
-    """Counts a job's tasks by zone, including those that are stopping."""
+    """Count a job's tasks by zone, including those that are stopping."""
     counts: dict[str, int] = {}
     for placement in job.placed.values():
         if placement.takes_room:
@@ -202,7 +202,7 @@
 def _room_beside_large_task(
     machine: Machine, large: Job, room: tuple[float, float, float]
 ) -> tuple[float, float, float]:
-    """Returns room that arrays may use on a machine withheld for a large task."""
+    """Return room that arrays may use on a machine withheld for a large task."""
     machine_type = machine.machine_type
     assert machine_type is not None
     cpus, gpus, memory = (
@@ -227,7 +227,7 @@
     packing: bool = False,
     withheld: dict[str, JobRun] | None = None,
 ) -> list[tuple[int, Machine]]:
-    """Returns pairs of task index and machine for as many tasks as fit (for a gang: all or none).
+    """Return pairs of task index and machine for as many tasks as fit (for a gang: all or none).
 
     Adds the planned tasks to `promised`.
     """
@@ -331,7 +331,7 @@
     promised: RoomByMachine,
     packing: bool,
 ) -> list[tuple[int, Machine]]:
-    """Plans independent tasks, one rank of machines after the other: at random, or when packing the
+    """Plan independent tasks, one rank of machines after the other: at random, or when packing the
     fullest first. Takes one step for each task, however many machines there are."""
     planned: list[tuple[int, Machine]] = []
     waiting = iter(indexes)
--- a/sagecove/coordination/preemption_policy.py
+++ b/sagecove/coordination/preemption_policy.py
@@ -23,14 +23,14 @@
     """Expected run times and target times of jobs."""
 
     def expected_run_s(self, job: JobRun) -> float:
-        """Returns the expected run time of a task, including the fetch of its image."""
+        """Return the expected run time of a task, including the fetch of its image."""
 
     def target_ages_s(self, job: JobRun) -> list[float]:
-        """Returns the ages by which a job is expected to be finished, in ascending order."""
+        """Return the ages by which a job is expected to be finished, in ascending order."""
 
 
 def may_preempt(job: JobRun, victim: JobRun) -> bool:
-    """Returns whether PROTOCOL's rules let a job preempt tasks of `victim`. The job must also have
+    """Return whether PROTOCOL's rules let a job preempt tasks of `victim`. The job must also have
     the higher precedence; otherwise the victim would take the room straight back."""
     allowed = victim.priority < job.priority or (
         job.within_guarantee and not victim.within_guarantee and victim.spec.team != job.spec.team
@@ -44,12 +44,12 @@
 
 
 def largest_victim_cpus(job: JobRun) -> float:
-    """Returns the CPUs of the largest task that may be preempted for one of this job."""
+    """Return the CPUs of the largest task that may be preempted for one of this job."""
     return 8 * max(job.spec.cpus, 0.5)
 
 
 def task_resources(job: JobRun) -> tuple[float, float, float]:
-    """Returns the CPUs, GPUs and memory (GB) that a task of a job needs."""
+    """Return the CPUs, GPUs and memory (GB) that a task of a job needs."""
     return job.spec.cpus, job.spec.gpus, job.spec.memory_gb
 
 
@@ -66,14 +66,14 @@
         )
 
     def rights_key(self, job: JobRun) -> tuple[object, ...]:
-        """Returns a key: jobs with an equal key may preempt the same tasks."""
+        """Return a key: jobs with an equal key may preempt the same tasks."""
         return (
             *(job.priority, job.within_guarantee, job.spec.team if job.within_guarantee else ""),
             round(self.patience(job)),
         )
 
     def patience(self, job: JobRun) -> float:
-        """Returns how long (seconds) a job's tasks may wait for others to end. An array finishes
+        """Return how long (seconds) a job's tasks may wait for others to end. An array finishes
         hardly later if each of its tasks waits for at most one run, unless it then misses a target
         that it can still meet. One within its team's guarantee need not wait for other teams."""
         if not job.array:
@@ -92,14 +92,14 @@
         return max(0.0, min(run_s, left_s))
 
     def worth(self, patience: float, victim: JobRun, placement: Placement) -> bool:
-        """Returns whether a task that may be preempted should be: it would run on for longer than
+        """Return whether a task that may be preempted should be: it would run on for longer than
         `patience`, which grows with each time it was preempted before."""
         return bool(self.split_by_remaining_run(patience, victim, [placement])[0])
 
     def split_by_remaining_run(
         self, patience: float, victim: JobRun, placements: list[Placement]
     ) -> tuple[list[Placement], int]:
-        """Returns the tasks of a job that are worth preempting, as they would run on for longer
+        """Return the tasks of a job that are worth preempting, as they would run on for longer
         than `patience` (which grows with each earlier preemption of a task), and how many tasks end
         in time. Services never end."""
         if patience <= 0 or not victim.array:
@@ -118,7 +118,7 @@
 
     @staticmethod
     def note_stop(placement: Placement) -> None:
-        """Counts a preemption of a task, so that it is spared for longer next time."""
+        """Count a preemption of a task, so that it is spared for longer next time."""
         job = placement.job
         if job is not None and job.array:
             if job.stop_counts is None:
