--- a/sagecove/coordination/claims/results.py
+++ b/sagecove/coordination/claims/results.py
@@ -24,7 +24,7 @@
         self.write_interval_s = self.context.settings.params.workers.lease_s / 4
 
     def write_finished(self, now: float, shards: list[Shard]) -> None:
-        """Writes newly finished tasks of all jobs; ends jobs whose last task has finished."""
+        """Write newly finished tasks of all jobs; end jobs whose last task has finished."""
         for job in list(self.backlog.dirty_jobs.values()):
             if not job.finished_unrecorded or job.committing:
                 continue
@@ -34,8 +34,8 @@
             if shard is None:
                 continue
             unrecorded = 0
-            for s in shards:
-                unrecorded |= job.claims.get(s.name, 0) & job.finished_unrecorded
+            for held_shard in shards:
+                unrecorded |= job.claims.get(held_shard.name, 0) & job.finished_unrecorded
             if job.durable_state is not None:
                 job.durable_state.write_finished(job, shard)
                 continue
@@ -58,7 +58,7 @@
             self._write(job, shard, changes)
 
     def _write(self, job: JobRun, shard: Shard, changes: list[wire.Put | wire.Delete]) -> None:
-        """Writes a job's record on condition that neither it nor the shard's holder has changed."""
+        """Write a job's record on condition that neither it nor the shard's holder has changed."""
         job.committing = True
 
         def done(result: Result) -> None:
@@ -74,7 +74,7 @@
         self.context.commit(conditions, changes, done)
 
     def stop_incomplete_gangs(self, now: float) -> None:
-        """Stops all tasks of gangs that lost one; they start again once all tasks are gone."""
+        """Stop all tasks of gangs that lost one; they start again once all tasks are gone."""
         workers = self.workers
         for job in self.backlog.dirty_jobs.values():
             if not job.gang:
@@ -86,9 +86,9 @@
             if any(p.stop_grace_s is not None for p in placements) and not job.gang_stopping:
                 # An orderly stop: all tasks get the same grace period.
                 grace_s = max(p.stop_grace_s or 0.0 for p in placements)
-                for p in placements:
-                    if p.stop_grace_s is None:
-                        workers.stop_task(p, grace_s, "gang")
+                for placement in placements:
+                    if placement.stop_grace_s is None:
+                        workers.stop_task(placement, grace_s, "gang")
             elif job.gang_stopping:
-                for p in placements:
-                    workers.stop_task(p, 0.0, "gang")
+                for placement in placements:
+                    workers.stop_task(placement, 0.0, "gang")
--- a/sagecove/coordination/explain.py
+++ b/sagecove/coordination/explain.py
@@ -42,7 +42,7 @@
 
 
 class PeerReports(Protocol):
-    """What peers reported in their hints."""
+    """Interface to what peers reported in their hints."""
 
     def running_elsewhere(self, job_id: str) -> int:
         """Return the number of a job's tasks that run on other controllers' machines."""
@@ -59,7 +59,7 @@
 
 
 class ExplainContext(OwnerContext, Protocol):
-    """What the views need from the owner."""
+    """Interface that the views require of the owner."""
 
     mirror: Mirror
     limits: TeamLimits
@@ -75,7 +75,7 @@
 
     @property
     def peers(self) -> PeerReports:
-        """What peers reported."""
+        """Return what peers reported."""
 
     @property
     def sync(self) -> StateServiceStatus:
@@ -95,7 +95,7 @@
         running + owner.peers.running_elsewhere(job.id),
         job.within_guarantee,
         owner.failures.fails_everywhere(job),
-        {shard: n for shard in job.claims if (n := job.claimed(shard).bit_count())},
+        {shard: count for shard in job.claims if (count := job.claimed(shard).bit_count())},
         _wait_reasons(owner, job),
         owner.settings.node,
     )
--- a/sagecove/lab/rule_checker.py
+++ b/sagecove/lab/rule_checker.py
@@ -145,7 +145,7 @@
                 raise RuleViolation(f"waiting {job_id}: there is room for it")
 
     def _could_start(self, spec: dict[str, Any], used_cpus: dict[str, float]) -> bool:
-        """Tell whether all tasks of a job, or one of an array, fit on the machines as they are."""
+        """Return whether all tasks of a job, or one of an array, fit on the current machines."""
         tasks_at_once = 1 if spec["shape"] == "sweep" else int(spec["hands"])
         team = next(t for t in self.teams if t["name"] == spec["outfit"])
         cpu_limit = team["cpus_max"] or float("inf")
@@ -254,9 +254,9 @@
         (`outfit`); if a class has jobs of several sizes, its largest ones also count separately.
         """
         started_tasks: dict[str, set[str]] = {}
-        for at, task, _ in self.task_starts:
+        for started_at, task, _ in self.task_starts:
             job_id = task.split("/")[0]
-            if at - self.submitted_at.get(job_id, at) <= SERVED_WITHIN_S:
+            if started_at - self.submitted_at.get(job_id, started_at) <= SERVED_WITHIN_S:
                 started_tasks.setdefault(job_id, set()).add(task)
         groups: dict[str, list[bool]] = {}
         jobs = [
