--- a/sagecove/coordination/users.py
+++ b/sagecove/coordination/users.py
@@ -51,8 +51,8 @@
         self.owner = owner
         # Final states (state, number of tasks); bounded, and read again once dropped.
         self.final_states: OrderedDict[str, tuple[str, int]] = OrderedDict()
-        # Waiting for a read: (number, kind, job id, exchange or, for `call`, callback for success).
-        # Numbers give the order: a read and a later request may have the same clock time.
+        # Waiting for a read: (number, kind, job id, exchange); for `call` the last is a callback
+        # for the read's success. Numbers give the order: a later request may have the same time.
         self.waiting_requests: list[tuple[int, str, str, Any]] = []
         self.request_count = 0
         # Open reads of final states: requests that wait for them, and requests that came later.
@@ -380,7 +380,7 @@
             job.durable_state.cancel(job, exchange)
             return
         # Not conditional on the record's revision: claims and results change it all the time, so a
-        # large job's cancellation conflicted without end. Accepted and not over now is enough.
+        # large job's cancellation conflicted without end. Accepted and not over at commit suffices.
         changes: list[wire.Put | wire.Delete] = [
             wire.Delete(JOB_PREFIX + job.id),
             wire.Put(FINAL_STATE_PREFIX + job.id, FinalStateRecord(api.CANCELLED, job.spec.tasks)),
